--- a/src/mangosail/control/loop.py
+++ b/src/mangosail/control/loop.py
@@ -11,7 +11,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.control import blame, budget, memory, policy, tails
+from mangosail.control import memory, policy, tail_impact, tails, token_bucket
 from mangosail.control import worker as controlled
 from mangosail.jobs import work
 from mangosail.ownership import session
@@ -57,8 +57,8 @@
         self.lease = lease
         self.clock = clock
         self.counters = counters
-        self.blame = blame.Blame()
-        self.evictions = budget.Budget(clock, EVICTION_BURST, EVICTION_INTERVAL)
+        self.blame = tail_impact.Blame()
+        self.evictions = token_bucket.Budget(clock, EVICTION_BURST, EVICTION_INTERVAL)
         self.memory = memory.Guard(run, clock, counters)
         self.workers: dict[str, controlled.Controlled] = {}
 
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -28,7 +28,7 @@
 from mangosail.membership import messages as peer_messages
 from mangosail.membership import methods, rpc
 from mangosail.membership import peers as membership
-from mangosail.ownership import bench, following, owners, session, sightings
+from mangosail.ownership import connector, monitoring, owners, session, session_observer
 from mangosail.placement import placer, workers
 from mangosail.platform import batching, listed
 from mangosail.platform import caller as platform_caller
@@ -137,7 +137,7 @@
             store=self.objects,
             gone=self.listed.gone,
         )
-        self.following = following.Following(
+        self.following = monitoring.Following(
             self.workers,
             (self.placer, self.runner),
             invariants.Invariants(
@@ -149,9 +149,9 @@
         self.owners = owners.Owners(
             self.table,
             self.lease,
-            sightings.Sightings(self.clock, self.lease.term),
+            session_observer.Sightings(self.clock, self.lease.term),
             self.workers,
-            bench.HttpBench(self.lease.valid, self.clock, self.counters),
+            connector.HttpBench(self.lease.valid, self.clock, self.counters),
             (self.following,),
             self.clock,
             self.counters,
--- a/src/mangosail/intake/catalogs.py
+++ b/src/mangosail/intake/catalogs.py
@@ -5,7 +5,7 @@
 import logbook
 
 from mangosail import clock as clocks
-from mangosail.scheduler import following, messages, ports
+from mangosail.scheduler import messages, ports, row_watcher
 from mangosail.telemetry import counters as telemetry
 
 log = logbook.Logger("catalog")
@@ -55,7 +55,7 @@
         #: Elapsed time at which a peer last answered in the place of this instance.
         self.doubted_at: float | None = None
         prefix = key[: key.rindex("/") + 1]
-        self.follower = following.Follower(
+        self.follower = row_watcher.Follower(
             rows, prefix, self._take, clock, counters, FOLLOW_WAIT, newest_only=True
         )
 
--- a/src/mangosail/intake/relaying.py
+++ b/src/mangosail/intake/relaying.py
@@ -13,7 +13,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.intake import errors, peers, standings
+from mangosail.intake import errors, peer_history, peers
 from mangosail.telemetry import counters as telemetry
 
 log = logbook.Logger("relaying")
@@ -100,7 +100,7 @@
         self.send = send
         self.clock = clock
         self.counters = counters
-        self.standings = standings.Standings(clock)
+        self.standings = peer_history.Standings(clock)
         #: Elapsed time until which only peers that answered lately are asked.
         self.paused_until = 0.0
         #: Callers in a row who made a pause begin.
@@ -127,12 +127,12 @@
                 break
             done = self._ask(peer, request)
             outcome = outcome_of(done)
-            if isinstance(done, result.Ok) and outcome == standings.Outcome.ANSWERED:
+            if isinstance(done, result.Ok) and outcome == peer_history.Outcome.ANSWERED:
                 self.in_vain = 0
                 # Another caller may have seen a newer one while this one waited.
                 self.seen_version = max(self.seen_version, done.ok_value.version)
                 return done.ok_value
-            if outcome == standings.Outcome.UNANSWERED:
+            if outcome == peer_history.Outcome.UNANSWERED:
                 silent = True
                 if request.method not in REPEATABLE:
                     break
@@ -177,18 +177,18 @@
 
 def outcome_of(
     done: result.Result[Answer, NotSent | Unanswered],
-) -> standings.Outcome:
+) -> peer_history.Outcome:
     """Return what an attempt says of the peer."""
     if isinstance(done, result.Ok):
         answer = done.ok_value
         if answer.status in OPEN:
-            return standings.Outcome.UNANSWERED
+            return peer_history.Outcome.UNANSWERED
         if answer.status != REFUSED:
-            return standings.Outcome.ANSWERED
+            return peer_history.Outcome.ANSWERED
         # For want of room any instance refuses: the peer is well, and has answered.
         if answer.refusal is not None and answer.refusal.reason not in errors.AWAY:
-            return standings.Outcome.ANSWERED
-        return standings.Outcome.REFUSED
+            return peer_history.Outcome.ANSWERED
+        return peer_history.Outcome.REFUSED
     if isinstance(done.err_value, NotSent):
-        return standings.Outcome.NOT_SENT
-    return standings.Outcome.UNANSWERED
+        return peer_history.Outcome.NOT_SENT
+    return peer_history.Outcome.UNANSWERED
--- a/src/mangosail/jobs/ends.py
+++ b/src/mangosail/jobs/attempts.py
@@ -5,7 +5,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.jobs import held, messages, records, room, tally
+from mangosail.jobs import held, messages, records, room, tracker
 from mangosail.placement import errors as placement_errors
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
@@ -39,12 +39,12 @@
         """Take in what became of a task's attempt; late news change nothing."""
         if request_id != job.request(index).request_id:
             return
-        if job.tally.standings[index] != tally.Standing.RUNNING:
+        if job.tally.standings[index] != tracker.Standing.RUNNING:
             return
         if outcome == work_messages.State.COMPLETED:
-            self._end(job, index, tally.Standing.COMPLETED)
+            self._end(job, index, tracker.Standing.COMPLETED)
         elif outcome == work_messages.State.CANCELLED:
-            self._end(job, index, tally.Standing.CANCELLED)
+            self._end(job, index, tracker.Standing.CANCELLED)
         elif outcome == work_messages.State.FAILED:
             self._failed(job, index, request_id)
         elif outcome == work_messages.State.NOT_RUN:
@@ -57,7 +57,7 @@
         else:
             job.follow(index, self.clock.monotonic())
 
-    def _end(self, job: held.HeldJob, index: int, at: tally.Standing) -> None:
+    def _end(self, job: held.HeldJob, index: int, at: tracker.Standing) -> None:
         job.followed.pop(index, None)
         job.tally.move(index, at)
         self.counters.count(f"jobs.task.{at.name.lower()}")
@@ -66,7 +66,7 @@
         """Let a task that was not started wait again, unless it never can be."""
         if isinstance(error, placement_errors.NotPlaced) and error.retry_after is None:
             job.stop(messages.State.FAILED, error.reason.value)
-            self._end(job, index, tally.Standing.FAILED)
+            self._end(job, index, tracker.Standing.FAILED)
             return
         self.counters.count(f"jobs.retry.{type(error).__name__.lower()}")
         self.put_back(job, index, 0)
@@ -82,9 +82,9 @@
         if job.poisoned(self.room.workers()):
             self.counters.count("jobs.poisoned")
             job.stop(messages.State.FAILED, f"fails everywhere: {job.reason}")
-        spent = job.failed_attempts[index] >= tally.MOST_ATTEMPTS
+        spent = job.failed_attempts[index] >= tracker.MOST_ATTEMPTS
         if spent or job.state is not messages.State.RUNNING:
-            self._end(job, index, tally.Standing.FAILED)
+            self._end(job, index, tracker.Standing.FAILED)
             return
         self.counters.count("jobs.retry.failed")
         job.tally.attempts[index] += 1
@@ -94,7 +94,7 @@
         """Let a task wait again, a while and by chance, so that none march in step."""
         job.followed.pop(index, None)
         if job.state is not messages.State.RUNNING:
-            self._end(job, index, tally.Standing.CANCELLED)
+            self._end(job, index, tracker.Standing.CANCELLED)
             return
         wait = backoff(failures) * self.random.uniform(0.5, 1.0)
         job.tally.put_back(index, self.clock.monotonic() + wait)
--- a/src/mangosail/jobs/cancelling.py
+++ b/src/mangosail/jobs/cancellation.py
@@ -5,7 +5,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.jobs import ends, held, messages, tally, work
+from mangosail.jobs import attempts, held, messages, tracker, work
 from mangosail.telemetry import counters as telemetry
 
 #: Most cancellations in hand at a time.
@@ -20,7 +20,7 @@
     def __init__(
         self,
         run: work.Work,
-        attempts: ends.Ends,
+        attempts: attempts.Ends,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
@@ -42,7 +42,7 @@
         gevent.spawn(self._cancel_each, job)
 
     def _cancel_each(self, job: held.HeldJob) -> None:
-        for index in list(job.tally.indices(tally.Standing.RUNNING)):
+        for index in list(job.tally.indices(tracker.Standing.RUNNING)):
             self.pool.spawn(self._cancel_task, job, index, 0)
 
     def _cancel_task(self, job: held.HeldJob, index: int, tries: int) -> None:
@@ -54,18 +54,18 @@
         task ran. A task that can't be reached must not keep others waiting, so between
         the tries it has no place in the pool.
         """
-        if job.tally.standings[index] != tally.Standing.RUNNING:
+        if job.tally.standings[index] != tracker.Standing.RUNNING:
             return
         request = job.request(index)
         answer = self.run.cancel(request.team, request.request_id)
         if isinstance(answer, result.Ok):
             self.ends.settle(job, index, request.request_id, answer.ok_value.state)
-        if job.tally.standings[index] != tally.Standing.RUNNING:
+        if job.tally.standings[index] != tracker.Standing.RUNNING:
             return
         # Where it runs elsewhere, its row tells of the end.
         job.follow(index, self.clock.monotonic())
         self.counters.count("jobs.retry.cancel")
-        pause = min(ends.backoff(tries), LONGEST_PAUSE)
+        pause = min(attempts.backoff(tries), LONGEST_PAUSE)
         gevent.spawn_later(
             pause, self.pool.spawn, self._cancel_task, job, index, tries + 1
         )
--- a/src/mangosail/jobs/held.py
+++ b/src/mangosail/jobs/held.py
@@ -5,7 +5,7 @@
 import itertools
 
 from mangosail import resources
-from mangosail.jobs import messages, records, tally
+from mangosail.jobs import messages, records, tracker
 from mangosail.work import messages as work_messages
 
 #: Failed attempts, without one success, after which a job may be given up.
@@ -43,7 +43,7 @@
 
     def __init__(self, found: records.Found) -> None:
         self.found = found
-        self.tally = tally.Tally(found.row.job.tasks)
+        self.tally = tracker.Tally(found.row.job.tasks)
         #: Rises from job to job; the older one has its turn first.
         self.number = next(NUMBERS)
         #: State to be recorded next; differs from the found one when it changed.
@@ -65,7 +65,7 @@
 
     def request(self, index: int) -> work_messages.Request:
         """Return the present attempt of a task."""
-        return tally.request_of(self.job, index, self.tally.attempts[index])
+        return tracker.request_of(self.job, index, self.tally.attempts[index])
 
     def follow(self, index: int, now: float, wait: float = FIRST_FOLLOW) -> None:
         """Read a task's row in `wait` seconds, unless that is planned already."""
@@ -73,7 +73,7 @@
 
     def running_needs(self) -> resources.Resources:
         """Return what the job's running tasks take together."""
-        count = self.tally.counts[tally.Standing.RUNNING]
+        count = self.tally.counts[tracker.Standing.RUNNING]
         needs = self.job.needs
         return resources.Resources(
             needs.cpus * count, needs.memory_gb * count, needs.accelerators * count
@@ -94,7 +94,7 @@
 
     def poisoned(self, workers: int) -> bool:
         """Tell whether the job fails wherever it is tried."""
-        if self.tally.counts[tally.Standing.COMPLETED]:
+        if self.tally.counts[tracker.Standing.COMPLETED]:
             return False
         enough = self.failures >= POISON_FAILURES
         return enough and len(self.failed_on) >= min(POISON_WORKERS, workers)
@@ -110,7 +110,7 @@
     def _final(self) -> messages.State:
         if self.state is messages.State.CANCELLING:
             return messages.State.CANCELLED
-        if self.tally.counts[tally.Standing.FAILED]:
+        if self.tally.counts[tracker.Standing.FAILED]:
             return messages.State.FAILED
         if self.state is messages.State.RUNNING:
             return messages.State.COMPLETED
--- a/src/mangosail/jobs/following.py
+++ b/src/mangosail/jobs/polling.py
@@ -3,7 +3,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.jobs import ends, held, records
+from mangosail.jobs import attempts, held, records
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
 
@@ -17,7 +17,7 @@
     def __init__(
         self,
         rows: records.Records,
-        attempts: ends.Ends,
+        attempts: attempts.Ends,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
--- a/src/mangosail/jobs/queue.py
+++ b/src/mangosail/jobs/queue.py
@@ -10,18 +10,18 @@
 from mangosail import clock as clocks
 from mangosail import resources
 from mangosail.jobs import (
-    cancelling,
-    ends,
+    attempts,
+    cancellation,
     errors,
-    following,
     held,
     messages,
     offers,
-    order,
+    ordering,
+    polling,
     recording,
     records,
     room,
-    tally,
+    tracker,
     work,
 )
 from mangosail.ownership import session
@@ -61,7 +61,7 @@
         quotas: cabc.Callable[[str], resources.Resources],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        arrangement: order.Order | None = None,
+        arrangement: ordering.Order | None = None,
         seed: int = 0,
     ) -> None:
         self.records = rows
@@ -72,11 +72,11 @@
         self.quotas = quotas
         self.clock = clock
         self.counters = counters
-        self.order = arrangement or order.FairOrder()
+        self.order = arrangement or ordering.FairOrder()
         self.jobs: dict[str, held.HeldJob] = {}
-        self.ends = ends.Ends(rows, places, clock, counters, seed)
-        self.cancelling = cancelling.Cancelling(run, self.ends, clock, counters)
-        followed = following.Following(rows, self.ends, clock, counters)
+        self.ends = attempts.Ends(rows, places, clock, counters, seed)
+        self.cancelling = cancellation.Cancelling(run, self.ends, clock, counters)
+        followed = polling.Following(rows, self.ends, clock, counters)
         self.recording = recording.Recording(
             self.jobs, rows, followed, self.cancelling, lease, counters
         )
@@ -158,7 +158,7 @@
 
     def waiting(self) -> int:
         """Return how many tasks of held jobs have not been started."""
-        waiting = tally.Standing.WAITING
+        waiting = tracker.Standing.WAITING
         return sum(job.tally.counts[waiting] for job in self.jobs.values())
 
     def hold(self, job: held.HeldJob) -> None:
@@ -255,7 +255,7 @@
         self.changed.set()
         request = row.request
         job = self.jobs.get(messages.job_key(request.team, request.job))
-        task = tally.task_of(job.job, request.request_id) if job else None
+        task = tracker.task_of(job.job, request.request_id) if job else None
         if job is not None and task is not None:
             self.ends.settle(job, task[0], request.request_id, outcome.state)
 
@@ -263,7 +263,7 @@
         """Take in what a peer tells of a task that it took on."""
         key = messages.job_key(message.team, message.job_id)
         job = self.jobs.get(key)
-        task = tally.task_of(job.job, message.request_id) if job else None
+        task = tracker.task_of(job.job, message.request_id) if job else None
         if job is None or task is None:
             return messages.Noted()
         if message.outcome:
--- a/src/mangosail/jobs/recording.py
+++ b/src/mangosail/jobs/recording.py
@@ -2,7 +2,7 @@
 
 import result
 
-from mangosail.jobs import cancelling, following, held, messages, records
+from mangosail.jobs import cancellation, held, messages, polling, records
 from mangosail.ownership import session
 from mangosail.platform import errors as platform_errors
 from mangosail.telemetry import counters as telemetry
@@ -21,8 +21,8 @@
         self,
         jobs: dict[str, held.HeldJob],
         rows: records.Records,
-        followed: following.Following,
-        cancels: cancelling.Cancelling,
+        followed: polling.Following,
+        cancels: cancellation.Cancelling,
         lease: session.Session,
         counters: telemetry.Counters,
     ) -> None:
--- a/src/mangosail/jobs/takeover.py
+++ b/src/mangosail/jobs/takeover.py
@@ -7,8 +7,8 @@
 
 from mangosail import clock as clocks
 from mangosail import codec
-from mangosail.jobs import held, messages, queue, tally
-from mangosail.ownership import session, shares, sightings
+from mangosail.jobs import held, messages, queue, tracker
+from mangosail.ownership import session, session_observer, shares
 from mangosail.platform import table
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
@@ -30,7 +30,7 @@
         self,
         rows: table.Table,
         jobs: queue.JobQueue,
-        seen: sightings.Sightings,
+        seen: session_observer.Sightings,
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -122,9 +122,9 @@
 
     def _enter(self, job: held.HeldJob, index: int, state: work_messages.State) -> None:
         """Enter a task whose last attempt is in `state`."""
-        job.tally.move(index, tally.Standing.RUNNING)
+        job.tally.move(index, tracker.Standing.RUNNING)
         if state is work_messages.State.COMPLETED:
-            job.tally.move(index, tally.Standing.COMPLETED)
+            job.tally.move(index, tracker.Standing.COMPLETED)
             return
         # Those with an end or an eviction are settled at the next reading.
         job.follow(index, self.clock.monotonic())
@@ -139,7 +139,7 @@
     """Return the last attempt of each task and its row; count those that failed."""
     last: dict[int, tuple[int, work_messages.WorkRow]] = {}
     for row in rows:
-        task = tally.task_of(job.job, row.request.request_id)
+        task = tracker.task_of(job.job, row.request.request_id)
         if task is None or row.request.job != job.job.job_id:
             continue
         index, attempt = task
--- a/src/mangosail/ownership/owners.py
+++ b/src/mangosail/ownership/owners.py
@@ -11,7 +11,7 @@
 from mangosail import clock as clocks
 from mangosail import codec, resources
 from mangosail.dispatch import messages as dispatch_messages
-from mangosail.ownership import messages, session, shares, sightings, takeover
+from mangosail.ownership import messages, session, session_observer, shares, takeover
 from mangosail.placement import workers as placed
 from mangosail.platform import errors, inventory, table
 from mangosail.telemetry import counters as telemetry
@@ -89,7 +89,7 @@
         self,
         rows: table.Table,
         lease: session.Session,
-        seen: sightings.Sightings,
+        seen: session_observer.Sightings,
         owned: placed.Workers,
         bench: Workbench,
         listeners: cabc.Sequence[Listener],
@@ -203,7 +203,7 @@
         self.epoch = version
         return result.Ok(None)
 
-    def _end(self, lapsed: sightings.Sighting) -> None:
+    def _end(self, lapsed: session_observer.Sighting) -> None:
         """Mark a lapsed session ended, so that its holder can't renew it."""
         ended = dataclasses.replace(lapsed.row, ended=True)
         key = messages.session_key(ended.data_centre, ended.instance)
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -11,7 +11,7 @@
 from mangosail import clock as clocks
 from mangosail import codec
 from mangosail.front import headers
-from mangosail.intake import catalogs, desk, errors, relaying
+from mangosail.intake import catalogs, errors, job_service, relaying
 from mangosail.platform import decoding, peering, wire
 from mangosail.scheduler import messages
 from mangosail.telemetry import counters as telemetry
@@ -39,7 +39,7 @@
     def __init__(
         self,
         catalog: catalogs.Catalogs,
-        jobs: desk.Desk,
+        jobs: job_service.Desk,
         clock: clocks.Clock,
         counters: telemetry.Counters,
         relay: relaying.Relay | None = None,
@@ -231,7 +231,7 @@
         resp.status = falcon.HTTP_BAD_REQUEST
         resp.text = codec.to_json({"title": "invalid", "description": invalid.fault})
 
-    def _failed(self, resp: falcon.Response, error: desk.ChangeError) -> None:
+    def _failed(self, resp: falcon.Response, error: job_service.ChangeError) -> None:
         if isinstance(error, errors.UnknownJob):
             self.counters.count("ingress.unknown_job")
             resp.status = falcon.HTTP_GONE
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -9,7 +9,7 @@
 
 from mangosail import clock as clocks
 from mangosail.front import server
-from mangosail.intake import catalogs, desk, peers, relaying
+from mangosail.intake import catalogs, job_service, peers, relaying
 from mangosail.platform import (
     advisor,
     decoding,
@@ -20,7 +20,7 @@
     store,
     workers,
 )
-from mangosail.scheduler import advice, journal, leadership, reach, scheduler
+from mangosail.scheduler import advice, journal, leadership, scheduler, worker_limit
 from mangosail.telemetry import counters as telemetry
 from mangosail.telemetry import exposition, logs
 
@@ -59,7 +59,9 @@
             settings.bounds.config_apply_ms / 1000,
             CLOSED_PREFIX,
         )
-        self.desk = desk.Desk(self.store, self.catalog.stale, self.clock, self.counters)
+        self.desk = job_service.Desk(
+            self.store, self.catalog.stale, self.clock, self.counters
+        )
         rand = random.Random(f"{settings.node_name}{os.getpid()}{self.clock.wall()}")
         self.peers = peers.Peers(
             self.store,
@@ -145,7 +147,7 @@
             self.clock,
             self.counters,
             self.catalog.closed_data_centres,
-            reach.bound(self.leadership.cores, self.workers.most),
+            worker_limit.bound(self.leadership.cores, self.workers.most),
             self.settings.bounds.hold_max_ms / 1000,
         )
         keeping = gevent.spawn(self.leadership.keep, self.scheduler.stop)
--- a/src/mangosail/scheduler/listing.py
+++ b/src/mangosail/scheduler/listing.py
@@ -16,7 +16,7 @@
 import result
 
 from mangosail import clock as clocks
-from mangosail.scheduler import errors, fleet, messages, ports, reach, turns
+from mangosail.scheduler import errors, fleet, messages, ports, worker_limit, yielding
 from mangosail.telemetry import counters as telemetry
 
 log = logbook.Logger("listing")
@@ -84,7 +84,7 @@
     def take(self, changes: ports.Changes, whole: bool) -> None:
         """Take in what changed, or all there is."""
         good = set()
-        shared = turns.Turns(self.clock)
+        shared = yielding.Turns(self.clock)
         for row in changes.rows:
             shared.share()
             name = row.key.removeprefix(self.prefix)
@@ -126,7 +126,7 @@
 
     def _take_in(self, count: int) -> None:
         attended = [worker.entry for worker in self.workers]
-        for entry in reach.choose(self.beyond.values(), count, attended):
+        for entry in worker_limit.choose(self.beyond.values(), count, attended):
             self._use(entry)
 
     def _set_aside(self, count: int) -> int:
@@ -134,7 +134,7 @@
         idle = {w.name: w for w in self.workers if not w.busy and not w.unlisted}
         busy = [w.entry for w in self.workers if w.name not in idle]
         entries = [worker.entry for worker in idle.values()]
-        kept = reach.choose(entries, len(entries) - count, busy)
+        kept = worker_limit.choose(entries, len(entries) - count, busy)
         for entry in kept:
             del idle[entry.name]
         for worker in idle.values():
--- a/src/mangosail/scheduler/rounds.py
+++ b/src/mangosail/scheduler/rounds.py
@@ -25,8 +25,8 @@
     progress,
     stragglers,
     throttling,
-    turns,
     worker_speeds,
+    yielding,
 )
 from mangosail.telemetry import counters as telemetry
 
@@ -40,7 +40,7 @@
 MOST_FAILURES = 6
 #: Pauses between placements, in multiples of what the last one took, and the longest.
 PLACE_PAUSES = 3
-LONGEST_PAUSE = PLACE_PAUSES * turns.TURN_TERM
+LONGEST_PAUSE = PLACE_PAUSES * yielding.TURN_TERM
 #: Pauses within a placement, in multiples of the work since the last one.
 TURN_PAUSES = 2
 #: Seconds after which placing is tried without a change, for tasks that become
@@ -103,7 +103,7 @@
         self.queues: dict[str, messages.Queue] = {}
         #: True once a planned stop has begun.
         self.stopping = False
-        self.turns = turns.Turns(clock, TURN_PAUSES)
+        self.turns = yielding.Turns(clock, TURN_PAUSES)
 
     def report_forever(self) -> None:
         """Log how much waits and how much room there is, now and again."""
@@ -163,7 +163,7 @@
 
     def place(self) -> None:
         """Place what waits, in order, as far as there is room."""
-        self.turns = turns.Turns(self.clock, TURN_PAUSES)
+        self.turns = yielding.Turns(self.clock, TURN_PAUSES)
         now = self.clock.elapsed()
         wall = self.clock.wall()
         ready = [step_run for job in self.jobs.values() for step_run in job.ready(wall)]
--- a/src/mangosail/scheduler/scheduler.py
+++ b/src/mangosail/scheduler/scheduler.py
@@ -21,11 +21,9 @@
 from mangosail.scheduler import (
     admission,
     advice,
-    attendance,
     crashes,
     estimates,
     fleet,
-    following,
     health,
     interference,
     journal,
@@ -33,13 +31,15 @@
     listing,
     messages,
     orders,
+    polling,
     ports,
     progress,
     reports,
     rounds,
+    row_watcher,
     sweeping,
-    turns,
     worker_speeds,
+    yielding,
 )
 from mangosail.telemetry import counters as telemetry
 
@@ -138,7 +138,7 @@
             clock,
             counters,
         )
-        self.attendance = attendance.Attendance(
+        self.attendance = polling.Attendance(
             calls,
             self.journal,
             self.reports,
@@ -165,7 +165,7 @@
             for feed in self.read_everything():
                 self.greenlets.spawn(feed.run)
             self.attending = True
-            shared = turns.Turns(self.clock)
+            shared = yielding.Turns(self.clock)
             for worker in self.workers:
                 shared.share()
                 self.attend(worker)
@@ -229,19 +229,19 @@
 
     # What the store holds.
 
-    def read_everything(self) -> tuple[following.Follower, ...]:
+    def read_everything(self) -> tuple[row_watcher.Follower, ...]:
         """Read jobs, their states and the workers; the lease is ours by now.
 
         Returns what goes on to follow them.
         """
-        workers = following.Follower(
+        workers = row_watcher.Follower(
             self.rows,
             self.listing.prefix,
             self._take_workers,
             self.clock,
             self.counters,
         )
-        jobs = following.Follower(
+        jobs = row_watcher.Follower(
             self.rows, keys.JOBS, self._take_jobs, self.clock, self.counters
         )
         # Workers first: a job that was cancelled meanwhile stops its runs at once,
@@ -281,7 +281,7 @@
                 break
             self.clock.sleep(READ_INTERVAL)
         states = {}
-        shared = turns.Turns(self.clock)
+        shared = yielding.Turns(self.clock)
         for row in found.ok_value.rows:
             shared.share()
             job_id = keys.job_id(row.key)
@@ -299,7 +299,7 @@
 
     def _take_jobs(self, changes: ports.Changes, whole: bool) -> None:
         """Take in new jobs and requests to cancel."""
-        shared = turns.Turns(self.clock)
+        shared = yielding.Turns(self.clock)
         for row in changes.rows:
             if not keys.is_cancellation(row.key):
                 shared.share()
@@ -379,8 +379,7 @@
         worker = self.workers.add(entry)
         worker.inherited_until = (
             self.began_at
-            + (attendance.HOLD_TERM + attendance.UNCONFIRMED_TERM)
-            * (1 + fleet.CLOCK_DRIFT)
+            + (polling.HOLD_TERM + polling.UNCONFIRMED_TERM) * (1 + fleet.CLOCK_DRIFT)
             + fleet.KILL_MARGIN / 1000
         )
         return worker
--- a/src/mangosail/work/adoption.py
+++ b/src/mangosail/work/adoption.py
@@ -20,12 +20,12 @@
 from mangosail.work import (
     claims,
     context,
-    ends,
     leases,
     messages,
     outcomes,
     registry,
     starts,
+    transitions,
 )
 
 log = logbook.Logger("work")
@@ -45,7 +45,7 @@
         self,
         ctx: context.Context,
         start: starts.Starts,
-        end: ends.Ends,
+        end: transitions.Ends,
         lease: leases.Leases,
     ) -> None:
         self.ctx = ctx
--- a/src/mangosail/work/cancellations.py
+++ b/src/mangosail/work/cancellations.py
@@ -16,12 +16,12 @@
 from mangosail.work import (
     claims,
     context,
-    ends,
     errors,
     messages,
     outcomes,
     registry,
     starts,
+    transitions,
 )
 
 #: The reason that cancelled work carries.
@@ -34,7 +34,7 @@
     """Cancels work that this instance has in hand, or that nobody has."""
 
     def __init__(
-        self, ctx: context.Context, start: starts.Starts, end: ends.Ends
+        self, ctx: context.Context, start: starts.Starts, end: transitions.Ends
     ) -> None:
         self.ctx = ctx
         self.starts = start
--- a/src/mangosail/work/evictions.py
+++ b/src/mangosail/work/evictions.py
@@ -10,14 +10,22 @@
 import result
 
 from mangosail.dispatch import messages as dispatch_messages
-from mangosail.work import context, ends, errors, messages, outcomes, registry, starts
+from mangosail.work import (
+    context,
+    errors,
+    messages,
+    outcomes,
+    registry,
+    starts,
+    transitions,
+)
 
 
 class Evictions:
     """Takes restartable tasks off their workers."""
 
     def __init__(
-        self, ctx: context.Context, start: starts.Starts, end: ends.Ends
+        self, ctx: context.Context, start: starts.Starts, end: transitions.Ends
     ) -> None:
         self.ctx = ctx
         self.starts = start
@@ -43,7 +51,7 @@
         if not self.ctx.may_act(task.owned):
             return self._refuse("lease_over")
         target = task.owned.target
-        name = ends.checkpoint_name(task.row)
+        name = transitions.checkpoint_name(task.row)
         stored = target.checkpoint(task.task_id, name, self.starts.order_deadline())
         if isinstance(stored, result.Err):
             return self._refuse("checkpoint_failed")
--- a/src/mangosail/work/runner.py
+++ b/src/mangosail/work/runner.py
@@ -23,7 +23,6 @@
     cancellations,
     claims,
     context,
-    ends,
     errors,
     evictions,
     forwarding,
@@ -34,6 +33,7 @@
     placing,
     registry,
     starts,
+    transitions,
     waiting,
 )
 
@@ -98,7 +98,7 @@
         )
         self.ctx.on_end.append(self._give_back)
         self.leases = leases.Leases(self.ctx)
-        self.ends = ends.Ends(self.ctx)
+        self.ends = transitions.Ends(self.ctx)
         self.starts = starts.Starts(self.ctx, self.ends, moves.Moves(self.ctx, place))
         self.adoption = adoption.Adoption(self.ctx, self.starts, self.ends, self.leases)
         self.waiting = waiting.Waiting(self.ctx, self.adoption)
--- a/src/mangosail/work/starts.py
+++ b/src/mangosail/work/starts.py
@@ -6,7 +6,7 @@
 from mangosail import clock as clocks
 from mangosail.dispatch import errors as dispatch_errors
 from mangosail.dispatch import messages as dispatch_messages
-from mangosail.work import context, ends, moves, outcomes, registry
+from mangosail.work import context, moves, outcomes, registry, transitions
 
 log = logbook.Logger("work")
 
@@ -14,7 +14,9 @@
 class Starts:
     """Sends each start once."""
 
-    def __init__(self, ctx: context.Context, end: ends.Ends, move: moves.Moves) -> None:
+    def __init__(
+        self, ctx: context.Context, end: transitions.Ends, move: moves.Moves
+    ) -> None:
         self.ctx = ctx
         self.ends = end
         self.moves = move
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -9,7 +9,7 @@
 
 from mangosail import errors as program_errors
 from mangosail import resources
-from mangosail.intake import catalogs, desk, relaying
+from mangosail.intake import catalogs, job_service, relaying
 from mangosail.platform import (
     decoding,
     deployment,
@@ -277,7 +277,7 @@
         context.store, "op//config", decoding.catalog_of, context.clock, counted
     )
     assert catalog.refresh()
-    jobs = desk.Desk(context.store, catalog.stale, context.clock, counted)
+    jobs = job_service.Desk(context.store, catalog.stale, context.clock, counted)
     context.ingress = ingress.Ingress(catalog, jobs, context.clock, counted)
     context.readiness = ingress.Readiness(catalog)
     context.client = testing.TestClient(context.ingress.app)
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -11,7 +11,7 @@
 
 from mangosail import clock as clocks
 from mangosail import resources
-from mangosail.intake import catalogs, desk, peers, relaying
+from mangosail.intake import catalogs, job_service, peers, relaying
 from mangosail.platform import (
     decoding,
     entries,
@@ -40,7 +40,7 @@
     context.catalog = catalogs.Catalogs(
         context.store, CONFIG, decoding.catalog_of, clock, counted
     )
-    jobs = desk.Desk(context.store, context.catalog.stale, clock, counted)
+    jobs = job_service.Desk(context.store, context.catalog.stale, clock, counted)
     #: Answers what peers pass on; the other one answers callers, and knows no peer.
     context.app = ingress.Ingress(context.catalog, jobs, clock, counted).app
     own = peers.Peer("a", "127.0.0.1:9")
--- a/tests/intake/steps/intake_steps.py
+++ b/tests/intake/steps/intake_steps.py
@@ -7,7 +7,7 @@
 from tests.support import memory
 
 from mangosail import codec
-from mangosail.intake import catalogs, desk, errors
+from mangosail.intake import catalogs, errors, job_service
 from mangosail.platform import table
 from mangosail.scheduler import admission, journal, keys, leadership, messages
 from mangosail.telemetry import counters
@@ -19,7 +19,7 @@
 
 
 def new_desk(context):
-    return desk.Desk(
+    return job_service.Desk(
         context.rows,
         lambda: context.away,
         context.clock,
--- a/tests/intake/steps/relaying_steps.py
+++ b/tests/intake/steps/relaying_steps.py
@@ -8,7 +8,7 @@
 from tests.scheduler import fakes
 from tests.support import memory
 
-from mangosail.intake import catalogs, desk, peers, relaying
+from mangosail.intake import catalogs, job_service, peers, relaying
 from mangosail.platform import caller, ingress, peering
 from mangosail.platform import errors as store_errors
 from mangosail.scheduler import journal, keys, messages
@@ -33,7 +33,7 @@
             self.rows, CONFIG, lambda text: context_catalogs[text], clock, tally
         )
         self.catalogs._use(catalog or catalog_of(1, "/q/"))
-        jobs = desk.Desk(self.rows, lambda: False, clock, tally)
+        jobs = job_service.Desk(self.rows, lambda: False, clock, tally)
         self.relay = relay
         self.app = ingress.Ingress(self.catalogs, jobs, clock, tally, relay).app
         self.client = falcon.testing.TestClient(self.app, headers={"Host": HOST})
--- a/tests/ownership/steps/table_steps.py
+++ b/tests/ownership/steps/table_steps.py
@@ -5,7 +5,7 @@
 
 from mangosail import resources
 from mangosail.dispatch import messages as dispatch_messages
-from mangosail.ownership import messages, owners, session, sightings
+from mangosail.ownership import messages, owners, session, session_observer
 from mangosail.placement import workers
 from mangosail.platform import inventory
 from mangosail.telemetry import counters
@@ -28,7 +28,7 @@
         self.owners = owners.Owners(
             rows,
             self.lease,
-            sightings.Sightings(clock, self.lease.term),
+            session_observer.Sightings(clock, self.lease.term),
             self.workers,
             self,
             (self,),
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -17,13 +17,13 @@
 from mangosail.platform import table
 from mangosail.scheduler import (
     advice,
-    attendance,
     errors,
     fleet,
     journal,
     keys,
     leadership,
     messages,
+    polling,
     ports,
     scheduler,
 )
--- a/tests/scheduler/steps/following_steps.py
+++ b/tests/scheduler/steps/following_steps.py
@@ -4,7 +4,7 @@
 from tests.support import memory
 
 from mangosail.platform import errors as store_errors
-from mangosail.scheduler import following, ports
+from mangosail.scheduler import ports, row_watcher
 from mangosail.telemetry import counters
 
 
@@ -35,7 +35,7 @@
     context.clock = memory.Clock(0.0)
     context.rows = QuietRows(context.clock)
     counts = counters.StatsdCounters(None, 0)
-    context.follower = following.Follower(
+    context.follower = row_watcher.Follower(
         context.rows, "jobs/", lambda *_: None, context.clock, counts, wait
     )
 
--- a/tests/scheduler/steps/reach_steps.py
+++ b/tests/scheduler/steps/reach_steps.py
@@ -6,7 +6,7 @@
 
 from mangosail import resources
 from mangosail.platform import workers
-from mangosail.scheduler import keys, messages, reach
+from mangosail.scheduler import keys, messages, worker_limit
 
 JOB = "00000000000000aa"
 PER_RACK = 8
@@ -24,7 +24,7 @@
     "attends to {count:d} workers"
 )
 def step_bound(context, cores, descriptors, count):
-    assert reach.bound(cores, workers.HttpWorkers(descriptors).most) == count
+    assert worker_limit.bound(cores, workers.HttpWorkers(descriptors).most) == count
 
 
 @then(
@@ -32,7 +32,7 @@
     "are {low:d} or {high:d} in each rack"
 )
 def step_spread(context, count, racks, most, low, high):
-    chosen = reach.choose([entry(number) for number in range(count)], most)
+    chosen = worker_limit.choose([entry(number) for number in range(count)], most)
     found = collections.Counter(rack for each in chosen for rack in each.labels)
     assert len(chosen) == most and len(found) == racks, (len(chosen), len(found))
     assert set(found.values()) == {low, high}, set(found.values())
