--- a/src/mangosail/intake/job_service.py
+++ b/src/mangosail/intake/job_service.py
@@ -114,7 +114,7 @@
             if place.bound is not None and place.taken + cores > place.bound:
                 return self._refuse_continuous(job, place)
             check = table.Check(keys.CONTINUOUS, place.version)
-            taken = codec.to_json(admission.Taken(place.taken + cores))
+            taken = codec.to_json(admission.ContinuousReservation(place.taken + cores))
             plain = storing(job)
             transaction = table.Transaction(
                 (*plain.checks, check),
@@ -268,7 +268,11 @@
 def places_of(rows: cabc.Mapping[str, table.Row]) -> Place:
     """Return what the rows of the leadership say of continuous jobs."""
     held, leader = rows.get(keys.CONTINUOUS), rows.get(keys.LEASE)
-    taken = codec.from_json(held.value, admission.Taken).cores if held else 0.0
+    taken = (
+        codec.from_json(held.value, admission.ContinuousReservation).cores
+        if held
+        else 0.0
+    )
     version = held.version if held else table.ABSENT
     lease = codec.from_json(leader.value, journal.Lease) if leader else None
     return Place(taken, version, lease.continuous_bound if lease else None)
--- a/src/mangosail/platform/advisor.py
+++ b/src/mangosail/platform/advisor.py
@@ -23,19 +23,19 @@
 
     def ask(
         self, step: str, workers: list[str]
-    ) -> result.Result[advice.Tickets, advice.Refused]:
+    ) -> result.Result[advice.Tickets, advice.AdviceUnavailable]:
         """Return tickets for those of the workers that may run the step."""
         body = codec.to_json(wire.Advise(step, workers)).encode()
         headers = {"Content-Type": "application/json"}
         answer = self.caller.call("POST", "/-/advise", body, headers, TIMEOUT)
         if isinstance(answer, result.Err):
-            return result.Err(advice.Refused(answer.err_value.reason))
+            return result.Err(advice.AdviceUnavailable(answer.err_value.reason))
         reply = answer.ok_value
         if reply.status != OK:
-            return result.Err(advice.Refused(f"status {reply.status}"))
+            return result.Err(advice.AdviceUnavailable(f"status {reply.status}"))
         try:
             found = codec.from_json(reply.body, wire.Advised)
         except codec.DecodeError as exc:
-            return result.Err(advice.Refused(str(exc)))
+            return result.Err(advice.AdviceUnavailable(str(exc)))
         tickets = {name: ticket for name, ticket in found.good}
         return result.Ok(advice.Tickets(tickets, found.valid_ms / 1000))
--- a/src/mangosail/platform/decoding.py
+++ b/src/mangosail/platform/decoding.py
@@ -44,7 +44,7 @@
         first_due=found.first_run_ms / 1000 if found.repeat_count else 0.0,
         interval=found.interval_ms / 1000,
     )
-    fault = sizes.fault_in(job)
+    fault = sizes.rejection_reason(job)
     return result.Err(errors.Invalid(fault)) if fault else result.Ok(job)
 
 
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -147,7 +147,7 @@
             self.clock,
             self.counters,
             self.catalog.closed_data_centres,
-            worker_limit.bound(self.leadership.cores, self.workers.most),
+            worker_limit.max_workers(self.leadership.cores, self.workers.most),
             self.settings.bounds.hold_max_ms / 1000,
         )
         keeping = gevent.spawn(self.leadership.keep, self.scheduler.stop)
--- a/src/mangosail/scheduler/admission.py
+++ b/src/mangosail/scheduler/admission.py
@@ -26,13 +26,13 @@
 #: of two days each).
 CONTINUOUS_SHARE = 0.45
 #: Seconds between looks at whether room can be given back.
-INTERVAL = 1.0
+RECONCILE_INTERVAL_S = 1.0
 #: Seconds by which the leader has surely heard of each job that was accepted.
-HEARD_TERM = 1.0
+PROPAGATION_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class ContinuousReservation:
     """Cores of the accepted continuous jobs and are not over."""
 
     cores: float = 0.0
@@ -47,13 +47,13 @@
     )
 
 
-def bound(workers: fleet.Fleet) -> float:
+def continuous_core_limit(workers: fleet.Fleet) -> float:
     """Return the cores that continuous jobs may take together."""
     usable = [worker for worker in workers if not worker.unlisted]
     return CONTINUOUS_SHARE * sum(worker.entry.capacity.cpus for worker in usable)
 
 
-class Returns:
+class ReservationReconciler:
     """Gives back the room of jobs that are over; for the leader."""
 
     def __init__(
@@ -68,37 +68,48 @@
         self.clock = clock
         self.counters = counters
         #: What the row held when it was last read or written.
-        self.known: float | None = None
+        self.last_known_cores: float | None = None
 
     def run(self) -> None:
         """Give back for ever."""
         while True:
-            self.clock.sleep(INTERVAL)
-            if self.known is None or abs(self._present() - self.known) > 0.01:
-                self.settle()
-
-    def settle(self) -> None:
+            self.clock.sleep(RECONCILE_INTERVAL_S)
+            if (
+                self.last_known_cores is None
+                or abs(self._reserved_cores() - self.last_known_cores) > 0.01
+            ):
+                self.reconcile()
+
+    def reconcile(self) -> None:
         """Write what the jobs hold, unless another one was accepted meanwhile."""
         found = self.rows.read([keys.CONTINUOUS])
         if isinstance(found, result.Err):
             return
         row = found.ok_value.get(keys.CONTINUOUS)
         version = row.version if row else table.ABSENT
-        taken = codec.from_json(row.value, Taken) if row else Taken()
-        self.clock.sleep(HEARD_TERM)
-        present = self._present()
+        taken = (
+            codec.from_json(row.value, ContinuousReservation)
+            if row
+            else ContinuousReservation()
+        )
+        self.clock.sleep(PROPAGATION_DELAY_S)
+        present = self._reserved_cores()
         if abs(present - taken.cores) > 0.01:
             transaction = table.Transaction(
                 (table.Check(keys.CONTINUOUS, version),),
-                (table.Write(keys.CONTINUOUS, codec.to_json(Taken(present))),),
+                (
+                    table.Write(
+                        keys.CONTINUOUS, codec.to_json(ContinuousReservation(present))
+                    ),
+                ),
             )
             if isinstance(self.rows.commit(transaction), result.Err):
                 self.counters.count("admission.return_failed")
                 return
             log.info("room given back", before=taken.cores, after=present)
-        self.known = present
+        self.last_known_cores = present
 
-    def _present(self) -> float:
+    def _reserved_cores(self) -> float:
         return sum(
             continuous_cores(job.job) for job in self.jobs.values() if not job.over
         )
--- a/src/mangosail/scheduler/advice.py
+++ b/src/mangosail/scheduler/advice.py
@@ -21,11 +21,11 @@
 log = logbook.Logger("advice")
 
 #: Workers that one call asks about; each costs the service time.
-MOST_ASKED = 30
+MAX_WORKERS_PER_CALL = 30
 #: Share of a ticket's term after which it is not used any more.
-USABLE_SHARE = 0.8
+USABLE_LIFETIME_SHARE = 0.8
 #: Seconds before a call that failed, or named no worker, is made again.
-RETRY_INTERVAL = 0.3
+RETRY_INTERVAL_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
     """Tickets by name of the worker, and the seconds for which they hold."""
 
     by_worker: dict[str, str]
-    term: float
+    lifetime: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class AdviceUnavailable:
     """The service did not answer the question."""
 
     reason: str
@@ -46,11 +46,13 @@
 class Advisor(t.Protocol):
     """The service that says which workers may run a step."""
 
-    def ask(self, step: str, workers: list[str]) -> result.Result[Tickets, Refused]:
+    def ask(
+        self, step: str, workers: list[str]
+    ) -> result.Result[Tickets, AdviceUnavailable]:
         """Return tickets for those of the workers that may run the step."""
 
 
-class Advice:
+class TicketCache:
     """Tickets of the steps that need them."""
 
     def __init__(
@@ -67,16 +69,16 @@
         self.clock = clock
         self.counters = counters
 
-    def usable(self, step_run: progress.StepRun, now: float) -> dict[str, str]:
+    def usable_tickets(self, step_run: progress.StepRun, now: float) -> dict[str, str]:
         """Return the tickets that can be used now, and ask for more if none can."""
         if step_run.tickets and now < step_run.tickets_until:
             return step_run.tickets
         if not step_run.asking and now >= step_run.ask_at:
             step_run.asking = True
-            gevent.spawn(self._ask, step_run, now)
+            gevent.spawn(self._request_tickets, step_run, now)
         return {}
 
-    def _ask(self, step_run: progress.StepRun, now: float) -> None:
+    def _request_tickets(self, step_run: progress.StepRun, now: float) -> None:
         names = self._candidates(step_run, now)
         asked_at = self.clock.elapsed()
         answer = self.advisor.ask(step_run.name, names)
@@ -85,15 +87,15 @@
         if isinstance(answer, result.Err):
             self.counters.count("advice.failed")
             log.info("no advice", step=step_run.name, reason=answer.err_value.reason)
-            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL
+            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL_S
             return
         tickets = answer.ok_value
         step_run.advised |= set(tickets.by_worker)
         step_run.refused |= set(names) - set(tickets.by_worker)
         step_run.tickets = dict(tickets.by_worker)
-        step_run.tickets_until = asked_at + tickets.term * USABLE_SHARE
+        step_run.tickets_until = asked_at + tickets.lifetime * USABLE_LIFETIME_SHARE
         if not tickets.by_worker:
-            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL
+            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL_S
         log.info(
             "advised", step=step_run.name, asked=len(names), may=len(tickets.by_worker)
         )
@@ -105,19 +107,21 @@
         able = [
             worker
             for worker in self.workers
-            if placing.allowed(step_run.step, worker, service, now)
+            if placing.is_eligible(step_run.step, worker, service, now)
             and worker.name not in step_run.refused
         ]
         able.sort(
             key=lambda worker: (worker.name in step_run.advised, worker.free.cpus),
             reverse=True,
         )
-        return [worker.name for worker in able[:MOST_ASKED]]
+        return [worker.name for worker in able[:MAX_WORKERS_PER_CALL]]
 
 
 class NoAdvisor:
     """Stands in where no such service is set: nobody may run an advised step."""
 
-    def ask(self, step: str, workers: list[str]) -> result.Result[Tickets, Refused]:
+    def ask(
+        self, step: str, workers: list[str]
+    ) -> result.Result[Tickets, AdviceUnavailable]:
         """Say that there is no advice."""
-        return result.Err(Refused("no service is set"))
+        return result.Err(AdviceUnavailable("no service is set"))
--- a/src/mangosail/scheduler/crashes.py
+++ b/src/mangosail/scheduler/crashes.py
@@ -21,19 +21,19 @@
 from mangosail.scheduler import fleet, messages, progress
 
 #: Clear crashes after which a task is given up, and crashes in all.
-MOST_CLEAR = 2
-MOST_CRASHES = 4
+MAX_CERTAIN_CRASHES = 2
+MAX_CRASHES = 4
 #: Seconds after which a run has shown that it does not crash its worker.
-PROOF_TERM = 5.0
+STABLE_RUN_S = 5.0
 #: Workers that were last heard within so many seconds of each other, and how many of
 #: them, fell silent together. A look may wait for 1.2 s.
-TOGETHER_TERM = 1.5
-TOGETHER = 3
+CORRELATION_WINDOW_S = 1.5
+MIN_CORRELATED_WORKERS = 3
 #: Milliseconds of a worker's life within which an earlier life may be the one in which
 #: an earlier leader's runs began: a takeover, and a worker's absence, take seconds.
-YOUNG_LIFE = 15_000.0
+RECENT_RESTART_MS = 15_000.0
 #: Lost workers that are remembered.
-MOST_LOSSES = 64
+MAX_REMEMBERED_CRASHES = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,60 +42,73 @@
 
     task: progress.Task
     #: True if its start was among the last that the worker was sent.
-    late: bool
+    started_recently: bool
     #: True if the worker had answered the start, or listed the run.
-    began: bool
+    start_confirmed: bool
 
 
-class Judge:
+class CrashTracker:
     """Judges the tasks of workers whose lives are over."""
 
     def __init__(self, workers: fleet.Fleet) -> None:
         self.workers = workers
         #: When the latest workers that crashed were last heard.
-        self.losses: collections.deque[float] = collections.deque(maxlen=MOST_LOSSES)
+        self.crash_times: collections.deque[float] = collections.deque(
+            maxlen=MAX_REMEMBERED_CRASHES
+        )
         #: Suspects of workers that have crashed or are only cut off.
-        self.open: dict[fleet.Worker, tuple[Suspect, ...]] = {}
+        self.pending_suspects: dict[fleet.Worker, tuple[Suspect, ...]] = {}
 
-    def silent(self, worker: fleet.Worker) -> None:
+    def record_unreachable(self, worker: fleet.Worker) -> None:
         """Remember what may have crashed a worker, or runs on behind a cut."""
-        self.open[worker] = (*self.open.get(worker, ()), *suspects_on(worker))
+        self.pending_suspects[worker] = (
+            *self.pending_suspects.get(worker, ()),
+            *find_suspects(worker),
+        )
 
-    def heard(self, worker: fleet.Worker) -> None:
+    def record_reachable(self, worker: fleet.Worker) -> None:
         """Take note that a worker lives, and nothing there has crashed it."""
-        self.open.pop(worker, None)
+        self.pending_suspects.pop(worker, None)
 
-    def over(self, worker: fleet.Worker, crashed: bool) -> tuple[Suspect, ...]:
+    def record_incarnation_end(
+        self, worker: fleet.Worker, crashed: bool
+    ) -> tuple[Suspect, ...]:
         """Count the end of a worker's life against its tasks, and return them.
 
         `crashed` tells that another life has followed; else it may also have left.
         """
-        suspects = (*self.open.pop(worker, ()), *suspects_on(worker))
+        suspects = (*self.pending_suspects.pop(worker, ()), *find_suspects(worker))
         if worker.entry.draining:
             return ()
-        late = tuple(suspect for suspect in suspects if suspect.late)
+        late = tuple(suspect for suspect in suspects if suspect.started_recently)
         if crashed:
-            if len(late) == 1 and late[0].began and not self._together(worker):
+            if (
+                len(late) == 1
+                and late[0].start_confirmed
+                and not self._is_correlated(worker)
+            ):
                 late[0].task.clear_crashes += 1
-            self.losses.append(worker.heard_at)
+            self.crash_times.append(worker.heard_at)
         for suspect in late or suspects:
             suspect.task.crashes += 1
-            suspect.task.suspect |= suspect.late
+            suspect.task.suspect |= suspect.started_recently
         return late or suspects
 
-    def missing(self, worker: fleet.Worker, task: progress.Task) -> tuple[Suspect, ...]:
+    def record_missing_run(
+        self, worker: fleet.Worker, task: progress.Task
+    ) -> tuple[Suspect, ...]:
         """Count a run of an earlier leader that its worker does not list.
 
         The record names the worker, not its life. If that has only begun, the run may
         have crashed the one before, under a leader that never learned of it.
         """
-        if worker.clock > YOUNG_LIFE:
+        if worker.clock > RECENT_RESTART_MS:
             return ()
         task.crashes += 1
         task.suspect = True
-        return (Suspect(task, late=True, began=False),)
+        return (Suspect(task, started_recently=True, start_confirmed=False),)
 
-    def _together(self, worker: fleet.Worker) -> bool:
+    def _is_correlated(self, worker: fleet.Worker) -> bool:
         """Tell whether other workers fell silent at about the same time."""
         silent = [
             other.heard_at
@@ -104,32 +117,32 @@
         ]
         near = [
             heard_at
-            for heard_at in (*silent, *self.losses)
-            if abs(heard_at - worker.heard_at) <= TOGETHER_TERM
+            for heard_at in (*silent, *self.crash_times)
+            if abs(heard_at - worker.heard_at) <= CORRELATION_WINDOW_S
         ]
-        return len(near) + 1 >= TOGETHER
+        return len(near) + 1 >= MIN_CORRELATED_WORKERS
 
 
-def suspects_on(worker: fleet.Worker) -> tuple[Suspect, ...]:
+def find_suspects(worker: fleet.Worker) -> tuple[Suspect, ...]:
     """Return the tasks that may just have begun on a worker."""
     return tuple(
-        Suspect(task, is_late(worker, task), task.began)
+        Suspect(task, is_recent_start(worker, task), task.began)
         for task in worker.tasks.values()
-        if may_have_begun(task) and not has_proved(worker, task)
+        if may_have_started(task) and not was_stable(worker, task)
     )
 
 
-def may_have_begun(task: progress.Task) -> bool:
+def may_have_started(task: progress.Task) -> bool:
     """Tell whether the task's present run may exist or have existed."""
     return task.phase is not progress.Phase.STARTING or task.ordered_at is not None
 
 
-def has_proved(worker: fleet.Worker, task: progress.Task) -> bool:
+def was_stable(worker: fleet.Worker, task: progress.Task) -> bool:
     """Tell whether a run had gone on for long when its worker was last heard."""
-    return task.began and proves(task, worker.heard_at)
+    return task.began and is_stable(task, worker.heard_at)
 
 
-def is_late(worker: fleet.Worker, task: progress.Task) -> bool:
+def is_recent_start(worker: fleet.Worker, task: progress.Task) -> bool:
     """Tell whether a run's start was among the last that the worker was sent.
 
     One that an earlier leader sent, and that was never listed, may have been.
@@ -139,22 +152,22 @@
     return worker.heard_at - task.ordered_at <= fleet.ALONE_TERM
 
 
-def proves(task: progress.Task, now: float) -> bool:
+def is_stable(task: progress.Task, now: float) -> bool:
     """Tell whether a run that is listed has gone on long enough to clear its task."""
-    return now - task.started_at >= PROOF_TERM
+    return now - task.started_at >= STABLE_RUN_S
 
 
-def clears(outcome: messages.Outcome) -> bool:
+def ended_by_itself(outcome: messages.Outcome) -> bool:
     """Tell whether a run that ended so had come to an end of its own."""
     return outcome in (messages.Outcome.DONE, messages.Outcome.FAILED)
 
 
-def clear(task: progress.Task) -> None:
+def reset_crash_counts(task: progress.Task) -> None:
     """Forget what counted against a task."""
     task.crashes = task.clear_crashes = 0
     task.suspect = False
 
 
-def guilty(task: progress.Task) -> bool:
+def exceeds_crash_limit(task: progress.Task) -> bool:
     """Tell whether a task is to be given up."""
-    return task.clear_crashes >= MOST_CLEAR or task.crashes >= MOST_CRASHES
+    return task.clear_crashes >= MAX_CERTAIN_CRASHES or task.crashes >= MAX_CRASHES
--- a/src/mangosail/scheduler/health.py
+++ b/src/mangosail/scheduler/health.py
@@ -5,13 +5,13 @@
 from mangosail.scheduler import fleet
 
 #: Seconds for which an end counts towards a worker's judgement.
-MEMORY = 5.0
+FAILURE_WINDOW_S = 5.0
 #: Failed ends, of as many jobs, after which a worker is set aside.
-MOST_FAILURES = 2
+MIN_FAILED_JOBS = 2
 #: Seconds for which a worker is set aside; then it is tried again.
-SET_ASIDE = 3.0
+QUARANTINE_S = 3.0
 #: Ends that are remembered for each worker at most.
-MOST_ENDS = 64
+MAX_ENDS_PER_WORKER = 64
 
 
 class Health:
@@ -20,20 +20,24 @@
     def __init__(self) -> None:
         self.ends: dict[str, collections.deque[tuple[float, str, bool]]] = {}
 
-    def note(self, worker: fleet.Worker, job_id: str, good: bool, now: float) -> bool:
+    def record(
+        self, worker: fleet.Worker, job_id: str, succeeded: bool, now: float
+    ) -> bool:
         """Take in an end, and tell whether the worker is set aside for it."""
-        ends = self.ends.setdefault(worker.name, collections.deque(maxlen=MOST_ENDS))
-        ends.append((now, job_id, good))
-        if good:
+        ends = self.ends.setdefault(
+            worker.name, collections.deque(maxlen=MAX_ENDS_PER_WORKER)
+        )
+        ends.append((now, job_id, succeeded))
+        if succeeded:
             return False
-        recent = [end for end in ends if now - end[0] <= MEMORY]
+        recent = [end for end in ends if now - end[0] <= FAILURE_WINDOW_S]
         failed = {job for _, job, fine in recent if not fine}
         failures = sum(not fine for _, _, fine in recent)
         # Jobs that can never be done fail everywhere, each a few times; a worker
         # is at fault when several jobs fail there and most ends are failures.
-        if len(failed) < MOST_FAILURES or failures * 2 <= len(recent):
+        if len(failed) < MIN_FAILED_JOBS or failures * 2 <= len(recent):
             return False
-        worker.avoid_until = now + SET_ASIDE
+        worker.avoid_until = now + QUARANTINE_S
         return True
 
     def forget(self, worker: fleet.Worker) -> None:
--- a/src/mangosail/scheduler/interference.py
+++ b/src/mangosail/scheduler/interference.py
@@ -17,27 +17,27 @@
 from mangosail import codec
 from mangosail.scheduler import fleet, messages, progress
 
-Kept = t.TypeVar("Kept")
+EntryT = t.TypeVar("EntryT")
 
 #: Bytes of pressures and of bases that are kept, half of a row together: beside a job's
 #: record that fills a row, a transaction still takes a narrow link its usual time.
-MOST_PRESSURES = 18_000
-MOST_BASES = 6_000
+MAX_PRESSURES_BYTES = 18_000
+MAX_BASES_BYTES = 6_000
 #: Share of the target that a new task may bring a tail latency to.
-ROOMY = 0.62
+PLACEMENT_TARGET_SHARE = 0.62
 #: Pressure of two images that were not seen together, in shares of busy time for
 #: all of a worker's cores.
-UNKNOWN_PRESSURE = 6.0
+DEFAULT_PRESSURE = 6.0
 #: Share of an error by which the load and the pressures follow a latency. With these
 #: the mean error on the looks of a recorded day was 0.10 of busy time, against 0.29
 #: with loads alone.
-LOAD_RATE = 0.25
-PRESSURE_RATE = 0.075
+LOAD_LEARNING_RATE = 0.25
+PRESSURE_LEARNING_RATE = 0.075
 #: Loads that a latency-critical task can have; keeps a wrong guess from running away.
-LEAST_LOAD = 0.05
-MOST_LOAD = 0.95
+MIN_LOAD = 0.05
+MAX_LOAD = 0.95
 #: Share of the target that a base is thought to be until latencies were seen.
-GUESSED_BASE = 0.25
+DEFAULT_BASE_SHARE = 0.25
 
 
 def is_latency_critical(step: messages.Step) -> bool:
@@ -45,13 +45,13 @@
     return step.latency_target > 0 and not step.best_effort
 
 
-def disturbed(worker: fleet.Worker) -> bool:
+def has_high_latency(worker: fleet.Worker) -> bool:
     """Tell whether a tail latency on the worker was too high at its last look."""
     return any(task.high_since is not None for task in worker.tasks.values())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Learned:
+class ModelSnapshot:
     """What is worth keeping of a model when another instance leads."""
 
     #: Latency-critical image, best-effort image, and the pressure.
@@ -70,27 +70,28 @@
         #: Load by name of the latency-critical task.
         self.load: dict[str, float] = {}
 
-    def learned(self) -> Learned:
+    def snapshot(self) -> ModelSnapshot:
         """Return what is to be kept: what was learned last, as far as there is room."""
         pressures = [(*pair, round(p, 2)) for pair, p in self.pressure.items()]
-        return Learned(
-            newest(pressures, MOST_PRESSURES), newest([*self.base.items()], MOST_BASES)
+        return ModelSnapshot(
+            newest_within(pressures, MAX_PRESSURES_BYTES),
+            newest_within([*self.base.items()], MAX_BASES_BYTES),
         )
 
-    def restore(self, learned: Learned) -> None:
+    def restore(self, learned: ModelSnapshot) -> None:
         """Go on with what an earlier leader has learned."""
         self.pressure = {(first, second): p for first, second, p in learned.pressures}
         self.base = dict(learned.bases)
 
-    def busy(self, step: messages.Step, latency: float) -> float:
+    def utilization(self, step: messages.Step, latency: float) -> float:
         """Return the share of time that a task with this tail latency is busy."""
-        base = self.base.get(step.image, step.latency_target * GUESSED_BASE)
+        base = self.base.get(step.image, step.latency_target * DEFAULT_BASE_SHARE)
         return 1 - base / max(latency, base * 1.02)
 
-    def pressed(self, image: str, shares: cabc.Mapping[str, float]) -> float:
+    def added_load_factor(self, image: str, shares: cabc.Mapping[str, float]) -> float:
         """Return what best-effort images add to the load of `image`, as a factor."""
         return sum(
-            self.pressure.get((image, other), UNKNOWN_PRESSURE) * share
+            self.pressure.get((image, other), DEFAULT_PRESSURE) * share
             for other, share in shares.items()
         )
 
@@ -114,26 +115,26 @@
         image = task.step.image
         # Taken out and put back, it stands last, as what was learned last.
         self.base[image] = min(self.base.pop(image, latency), latency)
-        busy = self.busy(task.step, latency)
+        busy = self.utilization(task.step, latency)
         load = self.load.get(task.name)
         if load is None or not shares:
-            load = busy / (1 + self.pressed(image, shares))
-            self.load[task.name] = min(max(load, LEAST_LOAD), MOST_LOAD)
+            load = busy / (1 + self.added_load_factor(image, shares))
+            self.load[task.name] = min(max(load, MIN_LOAD), MAX_LOAD)
             return
-        error = busy - min(load * (1 + self.pressed(image, shares)), 1.0)
+        error = busy - min(load * (1 + self.added_load_factor(image, shares)), 1.0)
         total = sum(share * share for share in shares.values()) + 0.002
         for other, share in shares.items():
-            known = self.pressure.pop((image, other), UNKNOWN_PRESSURE)
-            step = PRESSURE_RATE * error * share / total / max(load, 0.2)
+            known = self.pressure.pop((image, other), DEFAULT_PRESSURE)
+            step = PRESSURE_LEARNING_RATE * error * share / total / max(load, 0.2)
             self.pressure[image, other] = max(known + step, 0.0)
-        load += LOAD_RATE * error
-        self.load[task.name] = min(max(load, LEAST_LOAD), MOST_LOAD)
+        load += LOAD_LEARNING_RATE * error
+        self.load[task.name] = min(max(load, MIN_LOAD), MAX_LOAD)
 
     def forget(self, task: progress.Task) -> None:
         """Drop the load of a latency-critical task that ended."""
         self.load.pop(task.name, None)
 
-    def room_for(self, step: messages.Step, worker: fleet.Worker) -> float:
+    def headroom(self, step: messages.Step, worker: fleet.Worker) -> float:
         """Return how much busy time the latencies would leave beside a new task.
 
         Negative if one would come too close to its target; 1 if no such task is there.
@@ -144,8 +145,10 @@
         added = step.need.cpus / worker.entry.capacity.cpus
         shares[step.image] = shares.get(step.image, 0.0) + added
         return min(
-            self.busy(task.step, task.step.latency_target * ROOMY)
-            - self.load_of(task) * (1 + self.pressed(task.step.image, shares))
+            self.utilization(
+                task.step, task.step.latency_target * PLACEMENT_TARGET_SHARE
+            )
+            - self.load_of(task) * (1 + self.added_load_factor(task.step.image, shares))
             for task in worker.tasks.values()
             if task.step.continuous and not task.step.best_effort
         )
@@ -155,7 +158,7 @@
         return self.load.get(task.name, 0.5 if is_latency_critical(task.step) else 0.0)
 
 
-def newest(rows: cabc.Sequence[Kept], most: int) -> tuple[Kept, ...]:
+def newest_within(rows: cabc.Sequence[EntryT], max_bytes: int) -> tuple[EntryT, ...]:
     """Return the last rows that take at most `most` bytes together.
 
     Images are never forgotten, and who hands jobs in may name a new one each time. When
@@ -165,8 +168,8 @@
     found = []
     for row in reversed(rows):
         size = len(codec.to_json(row).encode()) + 1
-        if size <= most:
-            most -= size
+        if size <= max_bytes:
+            max_bytes -= size
             found.append(row)
     return tuple(reversed(found))
 
--- a/src/mangosail/scheduler/journal.py
+++ b/src/mangosail/scheduler/journal.py
@@ -30,7 +30,7 @@
 #: Rows that one transaction writes at most; the platform takes 100 entries.
 MOST_ROWS = 80
 #: Bytes of rows that one transaction writes, unless one row alone takes more: 75 KB on
-#: the wire, which a link of 5 Mbit/s carries in half of `commits.ANSWER_TERM`.
+#: the wire, which a link of 5 Mbit/s carries in half of `commits.ANSWER_TIMEOUT_S`.
 MOST_BYTES = 50_000
 #: Seconds between renewals of the lease; a third of what standbys wait.
 RENEWAL_INTERVAL = 0.3
--- a/src/mangosail/scheduler/leadership.py
+++ b/src/mangosail/scheduler/leadership.py
@@ -110,7 +110,7 @@
         self.seen: Seen | None = None
         #: Speed of this instance, in cores.
         self.cores = cores
-        self.speed = speed.Speed(clock)
+        self.speed = speed.SpeedProbe(clock)
         self.stagger = rand.uniform(0, STAGGER)
         #: Seconds that the latest reading took.
         self.read_term = 0.0
--- a/src/mangosail/scheduler/listing.py
+++ b/src/mangosail/scheduler/listing.py
@@ -25,22 +25,24 @@
 Decode = cabc.Callable[[str, str], result.Result[messages.WorkerEntry, errors.BadEntry]]
 
 
-class Keeper(t.Protocol):
+class WorkerManager(t.Protocol):
     """Told of workers that come, change and leave."""
 
     def add(self, entry: messages.WorkerEntry) -> fleet.Worker:
         """Begin to know a worker."""
 
-    def attend(self, worker: fleet.Worker) -> None:
+    def start_polling(self, worker: fleet.Worker) -> None:
         """Begin to look at a worker whose address is known now."""
 
-    def ask_namesakes(self, entry: messages.WorkerEntry) -> None:
+    def check_same_address(self, entry: messages.WorkerEntry) -> None:
         """Find out which of several workers with one address lives."""
 
-    def ask(self, worker: fleet.Worker, entry: messages.WorkerEntry) -> None:
+    def check_incarnation(
+        self, worker: fleet.Worker, entry: messages.WorkerEntry
+    ) -> None:
         """Find out which life of a worker answers where an entry says."""
 
-    def set_aside(self, worker: fleet.Worker) -> None:
+    def stop_polling(self, worker: fleet.Worker) -> None:
         """Attend no longer to a worker that is well and runs nothing."""
 
     def evacuate(self, worker: fleet.Worker) -> None:
@@ -55,135 +57,135 @@
         prefix: str,
         decode: Decode,
         workers: fleet.Fleet,
-        keeper: Keeper,
+        manager: WorkerManager,
         catalog: cabc.Callable[[], messages.Catalog | None],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        most_workers: int,
+        max_workers: int,
     ) -> None:
         self.prefix = prefix
         #: Workers that the leader attends to at most, but for those that run something.
-        self.most_workers = most_workers
+        self.max_workers = max_workers
         #: Entries of the workers beyond these.
-        self.beyond: dict[str, messages.WorkerEntry] = {}
+        self.unpolled: dict[str, messages.WorkerEntry] = {}
         #: True once it is known where something runs, so that some may be left out.
-        self.limited = False
+        self.limit_enforced = False
         self.decode = decode
         self.workers = workers
-        self.keeper = keeper
+        self.manager = manager
         self.catalog = catalog
         self.clock = clock
         self.counters = counters
         #: Entries of pools that the configuration does not name, or not yet.
-        self.unnamed: dict[str, messages.WorkerEntry] = {}
+        self.unknown_pool: dict[str, messages.WorkerEntry] = {}
         #: Version of the configuration by which they were judged last.
-        self.judged_by = 0
+        self.checked_version = 0
         #: What was wrong with each bad entry, so that a change is logged once.
-        self.faults: dict[str, errors.Fault] = {}
+        self.entry_faults: dict[str, errors.Fault] = {}
 
-    def take(self, changes: ports.Changes, whole: bool) -> None:
+    def apply_changes(self, changes: ports.Changes, whole: bool) -> None:
         """Take in what changed, or all there is."""
         good = set()
-        shared = yielding.Turns(self.clock)
+        shared = yielding.CooperativeYielder(self.clock)
         for row in changes.rows:
-            shared.share()
+            shared.yield_if_due()
             name = row.key.removeprefix(self.prefix)
             found = self.decode(name, row.value)
             if isinstance(found, result.Err):
-                self._bad(name, found.err_value.fault)
-            elif self._take_entry(found.ok_value):
+                self._reject_entry(name, found.err_value.fault)
+            elif self._accept_entry(found.ok_value):
                 good.add(name)
         for key in changes.removed:
-            self._forget(key.removeprefix(self.prefix))
+            self._remove(key.removeprefix(self.prefix))
         if whole:
-            names = [*self.beyond, *(worker.name for worker in self.workers)]
+            names = [*self.unpolled, *(worker.name for worker in self.workers)]
             for name in names:
                 if name not in good:
-                    self._forget(name)
+                    self._remove(name)
 
-    def limit(self) -> None:
+    def enforce_limit(self) -> None:
         """Attend to no more than `most_workers` from now on; some may run nothing.
 
         A worker on which something may run is attended to whatever the bound: its lease
         would run out, and its ends would never be seen.
         """
-        self.limited = True
-        self.adjust()
+        self.limit_enforced = True
+        self.rebalance()
 
-    def adjust(self) -> None:
+    def rebalance(self) -> None:
         """Take in workers from beyond the reach, or set some aside, by the bound."""
-        room = self.most_workers - len(self.workers)
-        if not self.limited or not room or (room > 0 and not self.beyond):
+        room = self.max_workers - len(self.workers)
+        if not self.limit_enforced or not room or (room > 0 and not self.unpolled):
             return
         if room > 0:
-            self._take_in(room)
-        elif not self._set_aside(-room):
+            self._poll_more(room)
+        elif not self._stop_polling_idle(-room):
             return
         log.info(
-            "reach", most=self.most_workers, attended=len(self.workers),
-            beyond=len(self.beyond),
+            "reach", most=self.max_workers, attended=len(self.workers),
+            beyond=len(self.unpolled),
         )  # fmt: skip
 
-    def _take_in(self, count: int) -> None:
+    def _poll_more(self, count: int) -> None:
         attended = [worker.entry for worker in self.workers]
-        for entry in worker_limit.choose(self.beyond.values(), count, attended):
-            self._use(entry)
+        for entry in worker_limit.select(self.unpolled.values(), count, attended):
+            self._apply_entry(entry)
 
-    def _set_aside(self, count: int) -> int:
+    def _stop_polling_idle(self, count: int) -> int:
         """Set aside up to `count` workers that run nothing; return how many were."""
         idle = {w.name: w for w in self.workers if not w.busy and not w.unlisted}
         busy = [w.entry for w in self.workers if w.name not in idle]
         entries = [worker.entry for worker in idle.values()]
-        kept = worker_limit.choose(entries, len(entries) - count, busy)
+        kept = worker_limit.select(entries, len(entries) - count, busy)
         for entry in kept:
             del idle[entry.name]
         for worker in idle.values():
-            self.beyond[worker.name] = worker.entry
-            self.keeper.set_aside(worker)
+            self.unpolled[worker.name] = worker.entry
+            self.manager.stop_polling(worker)
         return len(idle)
 
-    def judge_again(self) -> None:
+    def recheck_pools(self) -> None:
         """Use workers whose pool a newer configuration names."""
         catalog = self.catalog()
         version = catalog.version if catalog else 0
-        if version == self.judged_by:
+        if version == self.checked_version:
             return
-        self.judged_by = version
-        unnamed, self.unnamed = self.unnamed, {}
+        self.checked_version = version
+        unnamed, self.unknown_pool = self.unknown_pool, {}
         for entry in unnamed.values():
-            self._take_entry(entry)
+            self._accept_entry(entry)
 
-    def _take_entry(self, entry: messages.WorkerEntry) -> bool:
+    def _accept_entry(self, entry: messages.WorkerEntry) -> bool:
         """Use the worker of an entry, unless its pool is unknown."""
         catalog = self.catalog()
         pools = {service.name for service in catalog.services} if catalog else set()
         if entry.service not in pools:
-            self.unnamed[entry.name] = entry
-            self._bad(entry.name, errors.Fault.SERVICE)
+            self.unknown_pool[entry.name] = entry
+            self._reject_entry(entry.name, errors.Fault.SERVICE)
             return False
-        self.unnamed.pop(entry.name, None)
-        if self.faults.pop(entry.name, None) is not None:
+        self.unknown_pool.pop(entry.name, None)
+        if self.entry_faults.pop(entry.name, None) is not None:
             log.info("entry good again", worker=entry.name)
-        self._use(entry)
+        self._apply_entry(entry)
         return True
 
-    def _bad(self, name: str, fault: errors.Fault) -> None:
+    def _reject_entry(self, name: str, fault: errors.Fault) -> None:
         """Take note that an entry names no worker to use."""
         self.counters.count(f"listing.bad_entry.{fault.value}")
         if fault is not errors.Fault.SERVICE:
-            self.unnamed.pop(name, None)
-        if self.faults.get(name) is not fault:
-            self.faults[name] = fault
+            self.unknown_pool.pop(name, None)
+        if self.entry_faults.get(name) is not fault:
+            self.entry_faults[name] = fault
             log.warning("bad entry", worker=name, reason=fault.value)
         self._unlist(name, "bad_entry")
 
-    def _forget(self, name: str) -> None:
-        self.unnamed.pop(name, None)
-        self.faults.pop(name, None)
+    def _remove(self, name: str) -> None:
+        self.unknown_pool.pop(name, None)
+        self.entry_faults.pop(name, None)
         self._unlist(name, "removed")
 
     def _unlist(self, name: str, why: str) -> None:
-        self.beyond.pop(name, None)
+        self.unpolled.pop(name, None)
         worker = self.workers.get(name)
         if worker is not None and not worker.unlisted:
             worker.unlisted = True
@@ -191,16 +193,16 @@
                 "worker unlisted", worker=name, reason=why, tasks=len(worker.tasks)
             )
 
-    def _use(self, entry: messages.WorkerEntry) -> None:
+    def _apply_entry(self, entry: messages.WorkerEntry) -> None:
         worker = self.workers.get(entry.name)
         if worker is None:
-            if self.limited and len(self.workers) >= self.most_workers:
-                self.beyond[entry.name] = entry
+            if self.limit_enforced and len(self.workers) >= self.max_workers:
+                self.unpolled[entry.name] = entry
                 self.counters.count("listing.beyond_reach")
                 return
-            self.beyond.pop(entry.name, None)
-            self.keeper.ask_namesakes(entry)
-            self.keeper.attend(self.keeper.add(entry))
+            self.unpolled.pop(entry.name, None)
+            self.manager.check_same_address(entry)
+            self.manager.start_polling(self.manager.add(entry))
             return
         if entry.draining and not worker.entry.draining:
             log.info("worker drains", worker=entry.name, remaining=entry.remaining)
@@ -211,7 +213,7 @@
             # Which of the two is the later one only the worker itself can tell.
             worker.other = entry
             worker.unlisted = False
-            self.keeper.ask(worker, entry)
+            self.manager.check_incarnation(worker, entry)
             return
         first = not worker.entry.address
         if entry.capacity != worker.entry.capacity:
@@ -224,6 +226,6 @@
             worker.born = entry.born
         worker.unlisted = False
         if first:
-            self.keeper.attend(worker)
+            self.manager.start_polling(worker)
         if entry.draining:
-            self.keeper.evacuate(worker)
+            self.manager.evacuate(worker)
--- a/src/mangosail/scheduler/ordering.py
+++ b/src/mangosail/scheduler/ordering.py
@@ -16,7 +16,7 @@
 Measured in jobs of priority 2 that ended in time, of 636 on four days of 2.5 to 3 times
 the usual traffic for 6 to 13 s, two of them with a quarter of the workers slow and a
 third lost: 253 in order of arrival, 392 by due time among those picked, 440 as it is,
-with more room for best-effort work (`placing.BEST_EFFORT_SHARE`).
+with more room for best-effort work (`placing.MIN_IDLE_CPU_SHARE`).
 """
 
 import collections.abc as cabc
@@ -24,20 +24,20 @@
 import heapq
 
 #: Cores that are assumed at least, so that a moment without any orders all the same.
-LEAST_CORES = 1.0
+MIN_CORES = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Work:
+class RemainingWork:
     """What a job still needs."""
 
     job_id: str
     #: Wall time by which it should end.
     due: float
     #: Core-seconds of all tasks that are not done.
-    left: float
+    core_seconds: float
     #: Seconds that it takes at least, with all the room it can use.
-    chain: float
+    critical_path: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,23 +58,23 @@
         return self.ranks.get(job_id, len(self.ranks))
 
 
-def plan(works: cabc.Iterable[Work], cores: float, now: float) -> Plan:
+def plan(works: cabc.Iterable[RemainingWork], cores: float, now: float) -> Plan:
     """Pick the jobs that can end in time with `cores`, and order all.
 
     >>> works = [Work("a", 10.0, 90.0, 1.0), Work("b", 12.0, 20.0, 1.0)]
     >>> plan(works, cores=10.0, now=2.0).ranks
     {'b': 0, 'a': 1}
     """
-    cores = max(cores, LEAST_CORES)
+    cores = max(cores, MIN_CORES)
     picked: list[tuple[float, str]] = []
     late: list[tuple[float, str]] = []
     total = 0.0
     for work in sorted(works, key=lambda work: (work.due, work.job_id)):
-        if now + work.chain > work.due:
-            late.append((work.left, work.job_id))
+        if now + work.critical_path > work.due:
+            late.append((work.core_seconds, work.job_id))
             continue
-        heapq.heappush(picked, (-work.left, work.job_id))
-        total += work.left
+        heapq.heappush(picked, (-work.core_seconds, work.job_id))
+        total += work.core_seconds
         if now + total / cores > work.due:
             left, job_id = heapq.heappop(picked)
             total += left
--- a/src/mangosail/scheduler/orders.py
+++ b/src/mangosail/scheduler/orders.py
@@ -25,22 +25,22 @@
 
 #: Seconds after which a start is void if the worker has not begun it. Short, so
 #: that a delayed one does harm no longer than this.
-START_TERM = 2.0
+START_TIMEOUT_S = 2.0
 #: Seconds after which the answer to a start is late: some twenty times what it takes.
 #: Looking at the worker costs one call, so it may be late for no reason.
-ANSWER_TERM = 0.25
+ANSWER_TIMEOUT_S = 0.25
 #: Seconds within which an order without an answer may be carried out late.
-STRAY_TERM = 12.0
+MAX_ORDER_DELAY_S = 12.0
 #: Seconds between attempts to stop a run on a worker that does not answer.
-STOP_INTERVAL = 0.3
+STOP_RETRY_INTERVAL_S = 0.3
 #: Seconds for which a worker that refused for want of room gets nothing more.
-FULL_TERM = 0.15
+NO_ROOM_BACKOFF_S = 0.15
 #: Seconds for which an unhealthy worker gets nothing more.
-UNWELL_TERM = 1.0
+UNHEALTHY_BACKOFF_S = 1.0
 #: Seconds before a task is placed again whose start was rejected.
-REJECTED_TERM = 0.05
+REJECTED_BACKOFF_S = 0.05
 #: Seconds before a task is placed again that a worker called invalid.
-INVALID_TERM = 5.0
+INVALID_BACKOFF_S = 5.0
 
 
 class Orders:
@@ -48,21 +48,21 @@
 
     def __init__(
         self,
-        calls: ports.Workers,
+        client: ports.Workers,
         token: int,
         workers: fleet.Fleet,
         changed: gevent.event.Event,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
-        self.calls = calls
+        self.client = client
         self.token = token
         self.workers = workers
         self.changed = changed
         self.clock = clock
         self.counters = counters
         #: Looks at a worker now and takes in what it lists; tells whether it answered.
-        self.look_now: cabc.Callable[[fleet.Worker], bool] = lambda worker: False
+        self.poll_now: cabc.Callable[[fleet.Worker], bool] = lambda worker: False
         #: True once a worker has seen a higher token.
         self.fenced = gevent.event.Event()
 
@@ -70,17 +70,19 @@
         """Start the task's present run, whose record is durable."""
         if task.phase is not progress.Phase.STARTING or task.worker != worker.name:
             return
-        if worker.gone or not task_wanted(task):
-            self._void(task, self._present(worker), "not_wanted")
+        if worker.gone or not is_wanted(task):
+            self._mark_not_started(
+                task, self._current_incarnation(worker), "not_wanted"
+            )
             return
         if worker.overfull:
             # Its capacity has shrunk while the record was written.
-            self._void(task, worker, "no_room")
+            self._mark_not_started(task, worker, "no_room")
             return
         now = self.clock.elapsed()
         heard_at = worker.heard_at
         run = task.run
-        deadline = int(worker.clock_at(now) + START_TERM * 1000)
+        deadline = int(worker.clock_at(now) + START_TIMEOUT_S * 1000)
         worker.deadline = max(worker.deadline, deadline)
         order = messages.StartOrder(
             task.name,
@@ -92,10 +94,10 @@
             task.step_run.tickets.get(worker.name, ""),
         )
         task.ordered_at = now
-        gevent.spawn_later(ANSWER_TERM, self.settle_late, task, worker, run)
-        answer = self.calls.start(worker.entry, order)
+        gevent.spawn_later(ANSWER_TIMEOUT_S, self.resolve_late_start, task, worker, run)
+        answer = self.client.start(worker.entry, order)
         self.counters.time("orders.start", self.clock.elapsed() - now)
-        worker = self._present(worker)
+        worker = self._current_incarnation(worker)
         if task.run != run or task.phase is not progress.Phase.STARTING:
             # A look has shown the run, or its end, or it was stopped as late.
             return
@@ -116,29 +118,33 @@
                 heard=round(now - heard_at, 3),
             )  # fmt: skip
             return
-        self._not_started(task, worker, answer.err_value)
+        self._handle_start_error(task, worker, answer.err_value)
 
-    def _present(self, worker: fleet.Worker) -> fleet.Worker:
+    def _current_incarnation(self, worker: fleet.Worker) -> fleet.Worker:
         """Return the life of a worker that holds its tasks now."""
         return self.workers.get(worker.name) or worker
 
-    def settle_late(self, task: progress.Task, worker: fleet.Worker, run: int) -> None:
+    def resolve_late_start(
+        self, task: progress.Task, worker: fleet.Worker, run: int
+    ) -> None:
         """Find out what became of a start, if its answer has not come by now.
 
         Where the worker does not list the run it is stopped, which bars it, so that
         the next one need not wait until this one can't begin any more.
         """
-        if not self._unanswered(task, run) or not self.look_now(worker):
+        if not self._unanswered(task, run) or not self.poll_now(worker):
             return
         if self._unanswered(task, run):
             self.counters.count("orders.late")
-            self._doubt(task, worker, "late")
+            self._mark_doubtful(task, worker, "late")
             self.stop(task, worker, "doubt")
 
     def _unanswered(self, task: progress.Task, run: int) -> bool:
         return task.run == run and task.phase is progress.Phase.STARTING
 
-    def _doubt(self, task: progress.Task, worker: fleet.Worker, reason: str) -> None:
+    def _mark_doubtful(
+        self, task: progress.Task, worker: fleet.Worker, reason: str
+    ) -> None:
         task.phase = progress.Phase.DOUBTFUL
         self.counters.count("orders.doubtful")
         log.info(
@@ -146,25 +152,25 @@
             reason=reason,
         )  # fmt: skip
 
-    def _not_started(
+    def _handle_start_error(
         self, task: progress.Task, worker: fleet.Worker, error: errors.OrderError
     ) -> None:
         now = self.clock.elapsed()
         if isinstance(error, errors.Silent):
             worker.reachable = False
-            self._doubt(task, worker, error.reason)
+            self._mark_doubtful(task, worker, error.reason)
             return
         reason = type(error).__name__.lower()
         if isinstance(error, errors.Rejected):
             reason = error.reason.value
-            self._rejected(task, worker, error.reason, now)
+            self._handle_rejection(task, worker, error.reason, now)
         elif isinstance(error, errors.Unwell):
-            worker.avoid_until = now + UNWELL_TERM
+            worker.avoid_until = now + UNHEALTHY_BACKOFF_S
         else:
             worker.reachable = False
-        self._void(task, worker, reason)
+        self._mark_not_started(task, worker, reason)
 
-    def _rejected(
+    def _handle_rejection(
         self,
         task: progress.Task,
         worker: fleet.Worker,
@@ -172,17 +178,19 @@
         now: float,
     ) -> None:
         if reason is errors.Reason.NO_ROOM:
-            worker.avoid_until = max(worker.avoid_until, now + FULL_TERM)
+            worker.avoid_until = max(worker.avoid_until, now + NO_ROOM_BACKOFF_S)
         elif reason is errors.Reason.FENCED:
             self.fenced.set()
         elif reason is errors.Reason.TICKET:
             task.step_run.tickets.pop(worker.name, None)
         elif reason is errors.Reason.INVALID:
-            task.not_before = now + INVALID_TERM
+            task.not_before = now + INVALID_BACKOFF_S
             return
-        task.not_before = now + REJECTED_TERM
+        task.not_before = now + REJECTED_BACKOFF_S
 
-    def _void(self, task: progress.Task, worker: fleet.Worker, reason: str) -> None:
+    def _mark_not_started(
+        self, task: progress.Task, worker: fleet.Worker, reason: str
+    ) -> None:
         """Take note that the run does not exist and never will."""
         worker.release(task)
         if task.step.gang:
@@ -199,18 +207,18 @@
         )
         self.changed.set()
 
-    def hand_over(
-        self, task: progress.Task, worker: fleet.Worker, later: fleet.Worker
+    def transfer(
+        self, task: progress.Task, worker: fleet.Worker, successor: fleet.Worker
     ) -> None:
         """Set a run aside in a worker's later life, where its start may yet arrive."""
         worker.release(task)
-        later.reserve(task)
+        successor.reserve(task)
         unsent = task.phase is progress.Phase.STARTING and task.ordered_at is None
         if not task.began and not unsent:
-            later.strays_until = self.clock.elapsed() + STRAY_TERM
+            successor.strays_until = self.clock.elapsed() + MAX_ORDER_DELAY_S
         if task.phase is progress.Phase.STOPPING:
             task.barred_at = None
-            gevent.spawn(self._stop, task, later, task.run, False)
+            gevent.spawn(self._stop, task, successor, task.run, False)
 
     def stop(self, task: progress.Task, worker: fleet.Worker, why: str) -> None:
         """Stop the task's present run, in the background and until answered."""
@@ -240,24 +248,24 @@
         log.info(
             "stopping", task=row.task, run=row.run, worker=worker.name, reason="unknown"
         )
-        gevent.spawn(self.calls.stop, worker.entry, row.task, row.run, self.token)
+        gevent.spawn(self.client.stop, worker.entry, row.task, row.run, self.token)
 
     def _stop(
-        self, task: progress.Task, worker: fleet.Worker, run: int, surely_there: bool
+        self, task: progress.Task, worker: fleet.Worker, run: int, known_running: bool
     ) -> None:
         while task.phase is progress.Phase.STOPPING and task.run == run:
             if worker.gone:
                 return
             if not worker.entry.address:
-                self.clock.sleep(STOP_INTERVAL)
+                self.clock.sleep(STOP_RETRY_INTERVAL_S)
                 continue
-            answer = self.calls.stop(worker.entry, task.name, run, self.token)
+            answer = self.client.stop(worker.entry, task.name, run, self.token)
             if worker.gone:
                 # Which life has answered is not known; the later one is told too.
                 return
             if isinstance(answer, result.Ok):
                 if task.run == run:
-                    self._barred(task, worker, surely_there)
+                    self._mark_barred(task, worker, known_running)
                 return
             if isinstance(answer.err_value, errors.Rejected):
                 if answer.err_value.reason is errors.Reason.FENCED:
@@ -265,24 +273,24 @@
                     return
                 if answer.err_value.reason is not errors.Reason.NO_ROOM:
                     # Nothing there that could be stopped any more.
-                    self._barred(task, worker, surely_there)
+                    self._mark_barred(task, worker, known_running)
                     return
-            self.clock.sleep(STOP_INTERVAL)
+            self.clock.sleep(STOP_RETRY_INTERVAL_S)
 
-    def _barred(
-        self, task: progress.Task, worker: fleet.Worker, surely_there: bool
+    def _mark_barred(
+        self, task: progress.Task, worker: fleet.Worker, known_running: bool
     ) -> None:
         """Note that the run can't begin any more, and see whether it had.
 
         One that is surely there ends later, and its end is listed.
         """
         task.barred_at = self.clock.elapsed()
-        if not surely_there:
-            self.look_now(worker)
+        if not known_running:
+            self.poll_now(worker)
 
     def throttle(self, task: progress.Task, worker: fleet.Worker, percent: int) -> None:
         """Let a run work at `percent` of its speed."""
-        answer = self.calls.throttle(
+        answer = self.client.throttle(
             worker.entry, task.name, task.run, percent, self.token
         )
         done = isinstance(answer, result.Ok)
@@ -298,6 +306,6 @@
         )  # fmt: skip
 
 
-def task_wanted(task: progress.Task) -> bool:
+def is_wanted(task: progress.Task) -> bool:
     """Tell whether the task should run at all."""
     return not task.job.over and not task.job.cancelled
--- a/src/mangosail/scheduler/placing.py
+++ b/src/mangosail/scheduler/placing.py
@@ -11,30 +11,30 @@
 COLOCATION_WEIGHT = 1000.0
 #: Cores that it is worth to a best-effort task to leave busy time to
 #: latency-critical ones: all of it counts as much as 40 cores.
-ROOM_WEIGHT = 40.0
+HEADROOM_WEIGHT = 40.0
 #: Busy time that a best-effort task must leave to the latency-critical ones beside it.
-LEAST_ROOM = 0.0
+MIN_HEADROOM = 0.0
 #: Cores that it costs a latency-critical task to go where a best-effort one runs.
-BEST_EFFORT_WEIGHT = 20.0
+BEST_EFFORT_PENALTY = 20.0
 #: Cores that it is worth to other tasks to go beside latency-critical ones, where
 #: best-effort tasks can't use the room.
 LATENCY_CRITICAL_WEIGHT = 8.0
 #: Cores that it is worth to be near the data; far from it a task takes a multiple
 #: of its time.
-DATA_WEIGHT = 2000.0
+DATA_LOCALITY_WEIGHT = 2000.0
 #: Seconds for which a suspect waits for a worker where nothing has just begun.
-ALONE_PATIENCE = 1.0
+ISOLATION_TIMEOUT_S = 1.0
 #: Seconds after which a best-effort step is tried on all workers again, not only on
 #: those that have changed: what was learned elsewhere may have made room.
-SEARCH_ALL_TERM = 1.0
+FULL_SEARCH_INTERVAL_S = 1.0
 #: Share of its cores that must be unused for a best-effort task to start. A
 #: latency-critical task uses less than is set aside for it; at 0.75 up to 100 of 448
 #: cores were unused while 300 tasks waited.
-BEST_EFFORT_SHARE = 0.4
+MIN_IDLE_CPU_SHARE = 0.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Choice:
+class Placement:
     """A task and the worker that was chosen for it."""
 
     task: progress.Task
@@ -48,7 +48,7 @@
         self.workers = workers
         self.model = model
         #: Names of workers on which short tasks would take too long.
-        self.slow: frozenset[str] = frozenset()
+        self.slow_workers: frozenset[str] = frozenset()
 
     def place(
         self,
@@ -56,28 +56,28 @@
         tasks: list[progress.Task],
         service: str,
         now: float,
-    ) -> list[Choice]:
+    ) -> list[Placement]:
         """Choose workers for as many of the tasks as fit, and reserve their room."""
         step = step_run.step
         seen = next(self.workers.changes)
         candidates = self._candidates(step, service, now)
         if step.gang:
             return self._place_gang(step_run, tasks, candidates, now)
-        whole = searches_all(step_run, now)
+        whole = needs_full_search(step_run, now)
         if not whole:
             # The others had no room for it before, and nothing there has changed.
             candidates = [c for c in candidates if c.changed > step_run.searched]
-        chosen = self._place_each(step_run, tasks, candidates, now)
+        chosen = self._place_tasks(step_run, tasks, candidates, now)
         if len(chosen) < len(tasks):
             step_run.searched = seen
             if whole:
-                step_run.search_all_at = now + SEARCH_ALL_TERM
+                step_run.search_all_at = now + FULL_SEARCH_INTERVAL_S
         return chosen
 
     def has_room(self, step_run: progress.StepRun, service: str, now: float) -> bool:
         """Tell whether one more task of the step could be placed now."""
         return any(
-            self._able(step_run.step, worker, service, now)
+            self._is_candidate(step_run.step, worker, service, now)
             and self._score(step_run, worker) is not None
             for worker in self.workers
         )
@@ -88,7 +88,7 @@
         tasks: list[progress.Task],
         service: str,
         now: float,
-    ) -> list[Choice]:
+    ) -> list[Placement]:
         """Choose a worker for one task, even if it may disturb those beside it."""
         chosen = self.place(step_run, tasks, service, now)
         if chosen or not step_run.step.best_effort:
@@ -96,17 +96,17 @@
         able = [
             worker
             for worker in self.workers
-            if allowed(step_run.step, worker, service, now)
+            if is_eligible(step_run.step, worker, service, now)
             and fleet.reserved(step_run.step).fits_in(worker.free)
             and (step_run.only is None or worker.name in step_run.only)
         ]
         if not able:
             return []
-        best = max(able, key=lambda worker: self._spared(step_run.step, worker))
+        best = max(able, key=lambda worker: self._low_impact_key(step_run.step, worker))
         best.reserve(tasks[0])
-        return [Choice(tasks[0], best)]
+        return [Placement(tasks[0], best)]
 
-    def _spared(
+    def _low_impact_key(
         self, step: messages.Step, worker: fleet.Worker
     ) -> tuple[bool, float, float]:
         """Return how little a best-effort task would harm there; more is better.
@@ -114,33 +114,35 @@
         All workers without latency-critical tasks leave the same busy time. When that
         alone decided, such jobs all went to one of them, 30 tasks to 64 cores.
         """
-        room = self.model.room_for(step, worker)
-        return not interference.disturbed(worker), room, worker.unused
+        room = self.model.headroom(step, worker)
+        return not interference.has_high_latency(worker), room, worker.unused
 
     def _candidates(
         self, step: messages.Step, service: str, now: float
     ) -> list[fleet.Worker]:
         return [
-            worker for worker in self.workers if self._able(step, worker, service, now)
+            worker
+            for worker in self.workers
+            if self._is_candidate(step, worker, service, now)
         ]
 
-    def _able(
+    def _is_candidate(
         self, step: messages.Step, worker: fleet.Worker, service: str, now: float
     ) -> bool:
         """Tell whether a worker may run tasks of the step, and has room for one."""
         return (
-            allowed(step, worker, service, now)
+            is_eligible(step, worker, service, now)
             and fits(step, worker)
-            and (step.continuous or worker.name not in self.slow)
+            and (step.continuous or worker.name not in self.slow_workers)
         )
 
-    def _place_each(
+    def _place_tasks(
         self,
         step_run: progress.StepRun,
         tasks: list[progress.Task],
         candidates: list[fleet.Worker],
         now: float,
-    ) -> list[Choice]:
+    ) -> list[Placement]:
         """Give one task after the other to the worker that is best by then.
 
         Only the worker that was chosen is scored again. Scoring all of them for
@@ -152,18 +154,18 @@
         chosen = []
         for task in tasks:
             if task.suspect:
-                best = quietest(ranked.scores, now)
+                best = safest_worker(ranked.scores, now)
             else:
                 best = ranked.best(task.avoid)
             if best is None:
                 break
-            if keeps_waiting(task, best, now):
+            if defers_suspect(task, best, now):
                 # Until then nothing begins there, so that it can begin alone.
                 ranked.rank(best, None)
                 best.avoid_until = task.not_before = now + fleet.ALONE_TERM
                 continue
             best.reserve(task)
-            chosen.append(Choice(task, best))
+            chosen.append(Placement(task, best))
             ranked.rank(best, self._score(step_run, best))
             if task.suspect and not task.step.gang:
                 best.alone = task
@@ -182,14 +184,14 @@
             return None
         score = score_of(step, worker)
         if step.best_effort and worker.latency_critical:
-            if interference.disturbed(worker):
+            if interference.has_high_latency(worker):
                 # What is stopped there counts as no pressure. To the model there was
                 # room again after each stop, and a new one kept the latency high.
                 return None
-            room = self.model.room_for(step, worker)
-            if room < LEAST_ROOM:
+            room = self.model.headroom(step, worker)
+            if room < MIN_HEADROOM:
                 return None
-            score += ROOM_WEIGHT * room
+            score += HEADROOM_WEIGHT * room
         return score
 
     def _place_gang(
@@ -198,7 +200,7 @@
         tasks: list[progress.Task],
         candidates: list[fleet.Worker],
         now: float,
-    ) -> list[Choice]:
+    ) -> list[Placement]:
         """Place all members or none: one alone would only hold its room."""
         if len(tasks) < len(step_run.tasks):
             return []
@@ -206,7 +208,7 @@
         if step_run.step.same_rack:
             groups = [*by_rack(candidates), candidates]
         for group in groups:
-            chosen = self._place_each(step_run, tasks, group, now)
+            chosen = self._place_tasks(step_run, tasks, group, now)
             if len(chosen) == len(tasks):
                 return chosen
             for choice in chosen:
@@ -214,14 +216,14 @@
         return []
 
 
-def searches_all(step_run: progress.StepRun, now: float) -> bool:
+def needs_full_search(step_run: progress.StepRun, now: float) -> bool:
     """Tell whether all workers are looked at for a step, or those that changed."""
     if not step_run.step.best_effort or step_run.only is not None:
         return True
     return now >= step_run.search_all_at
 
 
-def quietest(
+def safest_worker(
     scores: cabc.Mapping[fleet.Worker, float | None], now: float
 ) -> fleet.Worker | None:
     """Return the worker for a task that may crash it: where the least would be lost.
@@ -236,15 +238,15 @@
     return min(able, key=order, default=None)
 
 
-def keeps_waiting(task: progress.Task, worker: fleet.Worker, now: float) -> bool:
+def defers_suspect(task: progress.Task, worker: fleet.Worker, now: float) -> bool:
     """Tell whether a suspect waits until nothing has just begun on a worker."""
     if not task.suspect or task.step.gang or worker.quiet(now):
         return False
     since = task.step_run.blocked_since
-    return since is None or now < since + ALONE_PATIENCE
+    return since is None or now < since + ISOLATION_TIMEOUT_S
 
 
-def allowed(
+def is_eligible(
     step: messages.Step, worker: fleet.Worker, service: str, now: float
 ) -> bool:
     """Tell whether tasks of the step may run on the worker at all."""
@@ -258,19 +260,21 @@
     if not fleet.reserved(step).fits_in(worker.free):
         return False
     if step.best_effort:
-        return worker.unused >= step.need.cpus * BEST_EFFORT_SHARE
+        return worker.unused >= step.need.cpus * MIN_IDLE_CPU_SHARE
     return True
 
 
 def score_of(step: messages.Step, worker: fleet.Worker) -> float:
     """Return how well a task of the step goes to the worker; more is better."""
-    near = DATA_WEIGHT * bool(step.data_rack and step.data_rack in worker.entry.labels)
+    near = DATA_LOCALITY_WEIGHT * bool(
+        step.data_rack and step.data_rack in worker.entry.labels
+    )
     critical = bool(worker.latency_critical)
     if step.best_effort:
         return near + worker.unused - COLOCATION_WEIGHT * critical
     if step.continuous:
         # The fullest of those that have such tasks already, so that few workers do.
-        disturbed = BEST_EFFORT_WEIGHT * worker.best_effort
+        disturbed = BEST_EFFORT_PENALTY * worker.best_effort
         return near + COLOCATION_WEIGHT * critical - worker.free.cpus - disturbed
     return near + worker.unused + LATENCY_CRITICAL_WEIGHT * critical
 
--- a/src/mangosail/scheduler/polling.py
+++ b/src/mangosail/scheduler/polling.py
@@ -52,7 +52,7 @@
         self,
         calls: ports.Workers,
         writer: journal.Journal,
-        taking_in: reports.Reports,
+        taking_in: reports.ReportProcessor,
         sender: orders.Orders,
         model: interference.Model,
         changed: gevent.event.Event,
@@ -119,7 +119,7 @@
             deadline,
             wait,
         )
-        call.join(wait + orders.ANSWER_TERM)
+        call.join(wait + orders.ANSWER_TIMEOUT_S)
         if call.ready() or not self.look_now(worker) or call.ready():
             return call.get()
         self.counters.count("workers.look_late")
@@ -171,7 +171,7 @@
             longest = max(HOLD_TERM, worker.longest_lease)
             worker.deadline = max(worker.deadline, look.clock + longest * 1000)
         taken_in = worker.taken_in
-        self.reports.take_in(worker, look, sent_at)
+        self.reports.process(worker, look, sent_at)
         if worker.taken_in == taken_in:
             return False
         self.changed.set()
@@ -243,7 +243,7 @@
         worker.reachable = False
         if worker.expired(now):
             if worker.tasks:
-                self.reports.lost(worker, "lease_over")
+                self.reports.handle_worker_lost(worker, "lease_over")
                 self.changed.set()
             if worker.unlisted:
                 self.on_gone(worker, "unlisted")
--- a/src/mangosail/scheduler/preemption.py
+++ b/src/mangosail/scheduler/preemption.py
@@ -12,12 +12,12 @@
 
 #: Seconds that a short task waits for room until others are stopped for it: longer
 #: than most tasks beside it have left to run.
-PATIENCE = 0.15
+MIN_WAIT_S = 0.15
 #: Seconds for which a task that was stopped stays away; short tasks come in
 #: bursts, and it would be stopped again.
-AWAY_TERM = 2.0
+PREEMPTED_BACKOFF_S = 2.0
 #: Victims stopped for one step at a time; others follow with the next placing.
-MOST_VICTIMS = 12
+MAX_VICTIMS = 12
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     worker: fleet.Worker
 
 
-def victims(
+def find_victims(
     step_run: progress.StepRun,
     missing: int,
     service: str,
@@ -41,17 +41,17 @@
         return []
     found: list[Victim] = []
     candidates = [
-        worker for worker in workers if placing.allowed(step, worker, service, now)
+        worker for worker in workers if placing.is_eligible(step, worker, service, now)
     ]
     candidates.sort(key=lambda worker: worker.free.cpus, reverse=True)
     for worker in candidates:
-        free = worker.free + leaving(worker)
-        while missing > 0 and len(found) < MOST_VICTIMS:
+        free = worker.free + resources_being_freed(worker)
+        while missing > 0 and len(found) < MAX_VICTIMS:
             if step.need.fits_in(free):
                 free -= step.need
                 missing -= 1
                 continue
-            victim = cheapest(step_run, worker, free, found)
+            victim = smallest_victim(step_run, worker, free, found)
             if victim is None:
                 break
             found.append(Victim(victim, worker))
@@ -59,7 +59,7 @@
     return found
 
 
-def leaving(worker: fleet.Worker) -> resources.Resources:
+def resources_being_freed(worker: fleet.Worker) -> resources.Resources:
     """Return the room that tasks which are being stopped will leave."""
     total = resources.Resources()
     for task in worker.tasks.values():
@@ -68,7 +68,7 @@
     return total
 
 
-def cheapest(
+def smallest_victim(
     step_run: progress.StepRun,
     worker: fleet.Worker,
     free: resources.Resources,
@@ -81,13 +81,13 @@
         for task in worker.tasks.values()
         if task.phase is progress.Phase.RUNNING
         and task.name not in taken
-        and may_yield(task, step_run)
+        and is_preemptible(task, step_run)
         and step_run.step.need.fits_in(free + fleet.reserved(task.step))
     ]
     return min(able, key=lambda task: task.step.need.cpus, default=None)
 
 
-def may_yield(task: progress.Task, step_run: progress.StepRun) -> bool:
+def is_preemptible(task: progress.Task, step_run: progress.StepRun) -> bool:
     """Tell whether a task may be stopped for the sake of a step."""
     step = task.step
     priority = step_run.job.job.priority
--- a/src/mangosail/scheduler/progress.py
+++ b/src/mangosail/scheduler/progress.py
@@ -293,9 +293,9 @@
         }
         #: Bytes that the record has for tasks that are not done, and whether some of
         #: these may have to wait until others make room.
-        self.spare = sizes.spare(job)
+        self.spare = sizes.spare_bytes(job)
         count = sum(len(step_run.tasks) for step_run in self.steps.values())
-        self.tight = count * (sizes.TASK_BYTES + sizes.LONGEST_NAME) > self.spare
+        self.tight = count * (sizes.TASK_BYTES + sizes.MAX_NAME_BYTES) > self.spare
         #: Wall time from which the record may be dropped, once the job is over.
         self.drop_at = 0.0
         #: True once its row was given to be cleared.
@@ -360,7 +360,7 @@
         if not self.tight:
             return tasks
         again = [task for task in tasks if task.run]
-        room = max(self._room() - sizes.LONGEST_NAME, 0) // sizes.TASK_BYTES
+        room = max(self._room() - sizes.MAX_NAME_BYTES, 0) // sizes.TASK_BYTES
         found = again + [task for task in tasks if not task.run][:room]
         if step_run.step.gang and len(found) < len(tasks):
             return []
@@ -380,9 +380,9 @@
             if not task.begun:
                 room -= sizes.TASK_BYTES
             if name not in names:
-                room -= len(name) + sizes.NAME_MARKS
+                room -= len(name) + sizes.NAME_OVERHEAD_BYTES
             names.add(name)
-            if room < (0 if task.begun else sizes.LONGEST_NAME):
+            if room < (0 if task.begun else sizes.MAX_NAME_BYTES):
                 return count
         return len(chosen)
 
@@ -398,7 +398,7 @@
             if task.phase is not done and (task.run or task.phase is not new)
         ]
         names = {task.worker for task in begun if task.worker}
-        taken = sum(len(name) + sizes.NAME_MARKS for name in names)
+        taken = sum(len(name) + sizes.NAME_OVERHEAD_BYTES for name in names)
         return self.spare - taken - len(begun) * sizes.TASK_BYTES
 
     def record(self, checkpoints: bool = True) -> JobRecord:
--- a/src/mangosail/scheduler/ranking.py
+++ b/src/mangosail/scheduler/ranking.py
@@ -15,7 +15,7 @@
 from mangosail.scheduler import fleet
 
 #: Cores that it costs a task to go where its last run failed.
-AVOID_WEIGHT = 5000.0
+AVOID_PENALTY = 5000.0
 
 
 class Ranking:
@@ -24,7 +24,7 @@
     def __init__(self, scores: cabc.Mapping[fleet.Worker, float | None]) -> None:
         self.scores = dict(scores)
         self.workers = list(scores)
-        self.places = {worker: place for place, worker in enumerate(self.workers)}
+        self.positions = {worker: place for place, worker in enumerate(self.workers)}
         #: Negative score and place of each worker that fits, and of some by scores
         #: that they no longer have.
         self.heap = [
@@ -38,29 +38,29 @@
         """Give a worker another score; None if it does not fit any more."""
         self.scores[worker] = score
         if score is not None:
-            heapq.heappush(self.heap, (-score, self.places[worker]))
+            heapq.heappush(self.heap, (-score, self.positions[worker]))
 
     def best(self, avoid: str = "") -> fleet.Worker | None:
         """Return the worker with the highest score, that to `avoid` only if alone."""
-        first = self._first()
+        first = self._top()
         if first is None or first.name != avoid:
             return first
         score = self.scores[first] or 0.0
         self.rank(first, None)
-        second = self._first()
+        second = self._top()
         self.rank(first, score)
         if second is None:
             return first
-        return min((first, second), key=lambda worker: self._order(worker, avoid))
+        return min((first, second), key=lambda worker: self._sort_key(worker, avoid))
 
-    def _order(self, worker: fleet.Worker, avoid: str) -> tuple[float, int]:
+    def _sort_key(self, worker: fleet.Worker, avoid: str) -> tuple[float, int]:
         """Return what is lower for the better of two workers."""
         score = self.scores[worker] or 0.0
         if worker.name == avoid:
-            score -= AVOID_WEIGHT
-        return -score, self.places[worker]
+            score -= AVOID_PENALTY
+        return -score, self.positions[worker]
 
-    def _first(self) -> fleet.Worker | None:
+    def _top(self) -> fleet.Worker | None:
         """Return the worker with the highest score; drop scores it no longer has."""
         while self.heap:
             negative, place = self.heap[0]
--- a/src/mangosail/scheduler/rounds.py
+++ b/src/mangosail/scheduler/rounds.py
@@ -33,36 +33,36 @@
 log = logbook.Logger("rounds")
 
 #: Seconds between placements, so that what comes together is placed together.
-PLACE_INTERVAL = 0.004
+ROUND_INTERVAL_S = 0.004
 #: Best-effort steps for which one round looks at all workers in vain. With 80 steps of
 #: different sizes waiting for 246 workers a round took 73 ms without this bound and
 #: 27 ms with it, on a busy machine; starts wait for it.
-MOST_FAILURES = 6
+MAX_FAILED_SEARCHES = 6
 #: Pauses between placements, in multiples of what the last one took, and the longest.
-PLACE_PAUSES = 3
-LONGEST_PAUSE = PLACE_PAUSES * yielding.TURN_TERM
+PAUSE_RATIO = 3
+MAX_PAUSE_S = PAUSE_RATIO * yielding.YIELD_INTERVAL_S
 #: Pauses within a placement, in multiples of the work since the last one.
-TURN_PAUSES = 2
+YIELD_PAUSE_RATIO = 2
 #: Seconds after which placing is tried without a change, for tasks that become
 #: due and workers that are used again.
-QUIET_INTERVAL = 0.1
+IDLE_INTERVAL_S = 0.1
 #: Starts that are on their way at a time, at most.
-MOST_STARTS = 256
+MAX_CONCURRENT_STARTS = 256
 #: Seconds between looks for tasks that stand still beside latency-critical ones.
-MOVE_INTERVAL = 0.25
+MOVE_INTERVAL_S = 0.25
 #: Seconds that a round looks for such tasks at most; no lease is renewed meanwhile.
-MOVE_TERM = 0.02
+MOVE_BUDGET_S = 0.02
 #: Seconds after which a round is logged as long: a third of the time between renewals
 #: of the lease, for which nothing else has the processor.
-LONG_ROUND = 0.1
+LONG_ROUND_S = 0.1
 #: Seconds between the lines that say how much waits.
-REPORT_INTERVAL = 2.0
+REPORT_INTERVAL_S = 2.0
 #: Seconds after which one task of a job with nothing running is placed although it
 #: may disturb others; such a job may not stand still for 3 s.
-STARVING_TERM = 1.2
+STARVATION_S = 1.2
 
 
-class Rounds:
+class PlacementLoop:
     """Places the tasks of `jobs` on `workers`, round after round."""
 
     def __init__(
@@ -70,11 +70,11 @@
         jobs: cabc.Mapping[str, progress.JobProgress],
         workers: fleet.Fleet,
         model: interference.Model,
-        expected: estimates.Estimates,
-        speed: worker_speeds.Speeds,
+        estimator: estimates.DurationEstimator,
+        speeds: worker_speeds.WorkerSpeeds,
         writer: journal.Journal,
         sender: orders.Orders,
-        advisor: advice.Advice,
+        advisor: advice.TicketCache,
         catalog: cabc.Callable[[], messages.Catalog | None],
         changed: gevent.event.Event,
         clock: clocks.Clock,
@@ -83,9 +83,9 @@
         self.jobs = jobs
         self.workers = workers
         self.model = model
-        self.speeds = speed
+        self.speeds = speeds
         self.placer = placing.Placer(workers, model)
-        self.planner = planning.Planner(workers, expected, self._queue)
+        self.planner = planning.Planner(workers, estimator, self._queue)
         self.journal = writer
         self.orders = sender
         self.advice = advisor
@@ -93,22 +93,22 @@
         self.changed = changed
         self.clock = clock
         self.counters = counters
-        self.starts = gevent.pool.Pool(MOST_STARTS)
+        self.starts = gevent.pool.Pool(MAX_CONCURRENT_STARTS)
         #: Elapsed time from which tasks that stand still are looked for again, and the
         #: workers that are still to be looked through by then.
         self.move_at = 0.0
         self.to_search: list[fleet.Worker] = []
         #: The configuration in force, and its queues by name.
-        self.known: messages.Catalog | None = None
+        self.current_catalog: messages.Catalog | None = None
         self.queues: dict[str, messages.Queue] = {}
         #: True once a planned stop has begun.
         self.stopping = False
-        self.turns = yielding.Turns(clock, TURN_PAUSES)
+        self.yielder = yielding.CooperativeYielder(clock, YIELD_PAUSE_RATIO)
 
     def report_forever(self) -> None:
         """Log how much waits and how much room there is, now and again."""
         while True:
-            self.clock.sleep(REPORT_INTERVAL)
+            self.clock.sleep(REPORT_INTERVAL_S)
             now = self.clock.elapsed()
             usable = [worker for worker in self.workers if worker.usable(now)]
             waiting = [
@@ -133,7 +133,7 @@
                 free_cores=round(sum(worker.free.cpus for worker in usable)),
                 unused_cores=round(sum(worker.unused for worker in usable)),
                 slowed=sum(
-                    task.speed_limit < throttling.FULL
+                    task.speed_limit < throttling.FULL_SPEED
                     for worker in usable
                     for task in worker.tasks.values()
                 ),
@@ -142,7 +142,7 @@
     def run(self) -> None:
         """Place whenever something has changed, until the planned stop."""
         while True:
-            self.changed.wait(QUIET_INTERVAL)
+            self.changed.wait(IDLE_INTERVAL_S)
             self.changed.clear()
             if self.stopping:
                 return
@@ -154,27 +154,27 @@
                 log.exception("place failed")
             # A third of the processor at most goes into placing; what was placed has to
             # be written and sent. A long round has paused in between.
-            took = self.turns.total()
+            took = self.yielder.total_worked()
             self.counters.time("rounds.place", took)
-            if took >= LONG_ROUND:
+            if took >= LONG_ROUND_S:
                 log.warning("long round", seconds=round(took, 3), jobs=len(self.jobs))
-            pause = min(PLACE_PAUSES * took, LONGEST_PAUSE)
-            self.clock.sleep(max(PLACE_INTERVAL, pause))
+            pause = min(PAUSE_RATIO * took, MAX_PAUSE_S)
+            self.clock.sleep(max(ROUND_INTERVAL_S, pause))
 
     def place(self) -> None:
         """Place what waits, in order, as far as there is room."""
-        self.turns = yielding.Turns(self.clock, TURN_PAUSES)
+        self.yielder = yielding.CooperativeYielder(self.clock, YIELD_PAUSE_RATIO)
         now = self.clock.elapsed()
         wall = self.clock.wall()
         ready = [step_run for job in self.jobs.values() for step_run in job.ready(wall)]
         self.planner.refresh(ready, now, wall)
-        self._judge_speeds(now)
-        ready.sort(key=self.planner.order_of)
-        self._move_slow(now)
+        self._update_slow_workers(now)
+        ready.sort(key=self.planner.sort_key)
+        self._move_stuck(now)
         full: list[tuple[str, progress.StepRun]] = []
         failures = 0
         for step_run in ready:
-            self.turns.share()
+            self.yielder.yield_if_due()
             if self.stopping:
                 return
             if step_run.job.over or step_run.job.cancelled:
@@ -185,11 +185,11 @@
             if not tasks:
                 continue
             best_effort = step_run.step.best_effort
-            costly = best_effort and placing.searches_all(step_run, now)
+            costly = best_effort and placing.needs_full_search(step_run, now)
             if (
                 costly
-                and failures >= MOST_FAILURES
-                and not self._overdue(step_run, now)
+                and failures >= MAX_FAILED_SEARCHES
+                and not self._is_overdue(step_run, now)
             ):
                 # It waits for room like those that were tried. Where many wait, those
                 # in front use up the bound in every round: when this was not noted, a
@@ -199,7 +199,7 @@
             placed = self._place_step(step_run, tasks, full, now)
             failures += costly and not placed
 
-    def _move_slow(self, now: float) -> None:
+    def _move_stuck(self, now: float) -> None:
         """Stop tasks that stand still where other workers have room for them.
 
         All workers in one round kept the processor for so long after a change of leader
@@ -208,9 +208,9 @@
         if not self.to_search:
             if now < self.move_at:
                 return
-            self.move_at = now + MOVE_INTERVAL
+            self.move_at = now + MOVE_INTERVAL_S
             self.to_search = list(self.workers)
-        deadline = self.clock.elapsed() + MOVE_TERM
+        deadline = self.clock.elapsed() + MOVE_BUDGET_S
         while self.to_search:
             self._move_from(self.to_search.pop(), now)
             if self.clock.elapsed() >= deadline:
@@ -220,40 +220,44 @@
         if not worker.reachable or worker.gone:
             return
         for task in list(worker.tasks.values()):
-            if throttling.stuck(task, now) and self._elsewhere(task, now):
+            if throttling.is_stuck(task, now) and self._fits_elsewhere(task, now):
                 self.orders.stop(task, worker, "moved")
-        for straggler in stragglers.find(worker, now):
+        for straggler in stragglers.find_stragglers(worker, now):
             self._move_straggler(straggler, now)
-        if worker.name in self.placer.slow:
-            self._leave_slow(worker, now)
+        if worker.name in self.placer.slow_workers:
+            self._move_off_slow_worker(worker, now)
 
-    def _judge_speeds(self, now: float) -> None:
-        slow = worker_speeds.slow(self.workers, now)
-        if slow != self.placer.slow:
-            log.info("slow workers", workers=sorted(slow), before=len(self.placer.slow))
+    def _update_slow_workers(self, now: float) -> None:
+        slow = worker_speeds.slow_workers(self.workers, now)
+        if slow != self.placer.slow_workers:
+            log.info(
+                "slow workers",
+                workers=sorted(slow),
+                before=len(self.placer.slow_workers),
+            )
             self.counters.count("rounds.slow_workers_changed")
-        self.placer.slow = slow
+        self.placer.slow_workers = slow
 
-    def _leave_slow(self, worker: fleet.Worker, now: float) -> None:
+    def _move_off_slow_worker(self, worker: fleet.Worker, now: float) -> None:
         """Stop what would end sooner if it went on elsewhere."""
         for task in list(worker.tasks.values()):
-            if task.moves >= stragglers.MOST_MOVES:
+            if task.moves >= stragglers.MAX_MOVES:
                 continue
             if not self.speeds.worth_moving(task, worker, now):
                 continue
-            if self._elsewhere(task, now):
+            if self._fits_elsewhere(task, now):
                 task.moves += 1
                 self.orders.stop(task, worker, "slow")
 
-    def _elsewhere(self, task: progress.Task, now: float) -> bool:
+    def _fits_elsewhere(self, task: progress.Task, now: float) -> bool:
         service = self.service_of(task.job.job)
         return self.placer.has_room(task.step_run, service, now)
 
     def _move_straggler(self, straggler: stragglers.Straggler, now: float) -> None:
         task, worker = straggler.task, straggler.worker
         before = worker.avoid_until
-        worker.avoid_until = now + stragglers.SET_ASIDE
-        if not self._elsewhere(task, now):
+        worker.avoid_until = now + stragglers.QUARANTINE_S
+        if not self._fits_elsewhere(task, now):
             worker.avoid_until = before
             return
         task.moves += 1
@@ -268,41 +272,45 @@
         now: float,
     ) -> bool:
         """Place tasks of a step, and tell whether any was."""
-        if not self._advised(step_run, now):
+        if not self._has_advice(step_run, now):
             return False
         service = self.service_of(step_run.job.job)
-        if self._overdue(step_run, now):
+        if self._is_overdue(step_run, now):
             chosen = self.placer.place_one(step_run, tasks, service, now)
-        elif any(hopeless(step_run, service, seen) for seen in full):
-            self._blocked(step_run, len(tasks), service, now)
+        elif any(cannot_fit(step_run, service, seen) for seen in full):
+            self._preempt_for(step_run, len(tasks), service, now)
             return False
         else:
             chosen = self.placer.place(step_run, tasks, service, now)
         missing = len(tasks) - len(chosen)
         if missing:
-            self._blocked(step_run, missing, service, now)
+            self._preempt_for(step_run, missing, service, now)
             full.append((service, step_run))
         else:
             step_run.blocked_since = None
-        chosen = fitting(step_run, chosen)
+        chosen = keep_recordable(step_run, chosen)
         if chosen:
-            self._begin(step_run, chosen)
+            self._start_runs(step_run, chosen)
         return bool(chosen)
 
-    def _overdue(self, step_run: progress.StepRun, now: float) -> bool:
+    def _is_overdue(self, step_run: progress.StepRun, now: float) -> bool:
         """Tell whether a job must not wait any longer with nothing running."""
-        return starves(step_run, now) and not self.planner.left_out(step_run, now)
+        return is_starving(step_run, now) and not self.planner.is_deferred(
+            step_run, now
+        )
 
-    def _advised(self, step_run: progress.StepRun, now: float) -> bool:
+    def _has_advice(self, step_run: progress.StepRun, now: float) -> bool:
         """Tell whether a step may be placed, after advice if its queue needs any."""
         queue = self._queue(step_run.job.job.queue)
         if queue is None or not queue.advised:
             return True
-        allowed = self.advice.usable(step_run, now)
+        allowed = self.advice.usable_tickets(step_run, now)
         step_run.only = frozenset(allowed)
         return bool(allowed)
 
-    def _begin(self, step_run: progress.StepRun, chosen: list[placing.Choice]) -> None:
+    def _start_runs(
+        self, step_run: progress.StepRun, chosen: list[placing.Placement]
+    ) -> None:
         """Record new runs of the tasks, and send their starts after that."""
         job = step_run.job
         if job.state is messages.State.QUEUED:
@@ -325,18 +333,18 @@
         self.journal.record(job)
         self.journal.then(lambda: self._send(chosen))
 
-    def _blocked(
+    def _preempt_for(
         self, step_run: progress.StepRun, missing: int, service: str, now: float
     ) -> None:
         """Make room for a step that has waited long enough."""
-        if now < blocked_since(step_run, now) + preemption.PATIENCE:
+        if now < blocked_since(step_run, now) + preemption.MIN_WAIT_S:
             return
-        found = preemption.victims(step_run, missing, service, self.workers, now)
+        found = preemption.find_victims(step_run, missing, service, self.workers, now)
         for victim in found:
-            victim.task.not_before = now + preemption.AWAY_TERM
+            victim.task.not_before = now + preemption.PREEMPTED_BACKOFF_S
             self.orders.stop(victim.task, victim.worker, "preempted")
 
-    def _send(self, chosen: list[placing.Choice]) -> None:
+    def _send(self, chosen: list[placing.Placement]) -> None:
         for choice in chosen:
             self.starts.spawn(self.orders.start, choice.task, choice.worker)
 
@@ -352,8 +360,8 @@
         can have hundreds of queues, and each round asks for every step.
         """
         catalog = self.catalog()
-        if catalog is not self.known:
-            self.known = catalog
+        if catalog is not self.current_catalog:
+            self.current_catalog = catalog
             queues = catalog.queues if catalog else ()
             self.queues = {queue.name: queue for queue in queues}
         return self.queues.get(name)
@@ -366,17 +374,17 @@
     return step_run.blocked_since
 
 
-def starves(step_run: progress.StepRun, now: float) -> bool:
+def is_starving(step_run: progress.StepRun, now: float) -> bool:
     """Tell whether a job has waited long with nothing running."""
     since = step_run.blocked_since
-    if since is None or now < since + STARVING_TERM:
+    if since is None or now < since + STARVATION_S:
         return False
     return not any(task.live for task in step_run.job.tasks())
 
 
-def fitting(
-    step_run: progress.StepRun, chosen: list[placing.Choice]
-) -> list[placing.Choice]:
+def keep_recordable(
+    step_run: progress.StepRun, chosen: list[placing.Placement]
+) -> list[placing.Placement]:
     """Return the choices that the job's record has room for, and undo the others."""
     pairs = [(choice.task, choice.worker.name) for choice in chosen]
     count = step_run.job.fitting(pairs)
@@ -387,7 +395,7 @@
     return chosen[:count]
 
 
-def hopeless(
+def cannot_fit(
     step_run: progress.StepRun, service: str, seen: tuple[str, progress.StepRun]
 ) -> bool:
     """Tell whether a step can't fit since one that is no harder to place did not."""
--- a/src/mangosail/scheduler/scheduler.py
+++ b/src/mangosail/scheduler/scheduler.py
@@ -98,8 +98,8 @@
             most_workers,
         )
         self.model = interference.Model()
-        self.expected = estimates.Estimates()
-        self.speeds = worker_speeds.Speeds(self.expected)
+        self.expected = estimates.DurationEstimator()
+        self.speeds = worker_speeds.WorkerSpeeds(self.expected)
         self.judge = health.Health()
         self.journal = journal.Journal(rows, held, clock, counters)
         self.journal.pending = self.pending
@@ -107,11 +107,11 @@
         self.sweeper = sweeping.Sweeper(rows, self.ended.discard, clock, counters)
         self.journal.continuous_bound = self.continuous_bound
         self.journal.workers = self.attended
-        self.returns = admission.Returns(rows, self.jobs, clock, counters)
+        self.returns = admission.ReservationReconciler(rows, self.jobs, clock, counters)
         self.orders = orders.Orders(
             calls, held.lease.token, self.workers, self.changed, clock, counters
         )
-        self.rounds = rounds.Rounds(
+        self.rounds = rounds.PlacementLoop(
             self.jobs,
             self.workers,
             self.model,
@@ -119,20 +119,20 @@
             self.speeds,
             self.journal,
             self.orders,
-            advice.Advice(advisor, self.workers, self.changed, clock, counters),
+            advice.TicketCache(advisor, self.workers, self.changed, clock, counters),
             catalog,
             self.changed,
             clock,
             counters,
         )
-        self.reports = reports.Reports(
+        self.reports = reports.ReportProcessor(
             self.find,
             self.on_change,
             self._give_up,
             self.workers,
             self.orders,
             self.judge,
-            crashes.Judge(self.workers),
+            crashes.CrashTracker(self.workers),
             self.expected,
             self.speeds,
             clock,
@@ -150,7 +150,7 @@
             clock,
             counters,
         )
-        self.orders.look_now = self.attendance.look_now
+        self.orders.poll_now = self.attendance.look_now
         self.greenlets = gevent.pool.Group()
         self.began_at = clock.elapsed()
         #: True once all jobs were read.
@@ -165,10 +165,10 @@
             for feed in self.read_everything():
                 self.greenlets.spawn(feed.run)
             self.attending = True
-            shared = yielding.Turns(self.clock)
+            shared = yielding.CooperativeYielder(self.clock)
             for worker in self.workers:
-                shared.share()
-                self.attend(worker)
+                shared.yield_if_due()
+                self.start_polling(worker)
             self.greenlets.spawn(self.rounds.run)
             self.greenlets.spawn(self._check_fence)
             self.greenlets.spawn(self.expire_forever)
@@ -215,7 +215,7 @@
         """Return the cores that continuous jobs may take; None if not known yet."""
         if not self.attending:
             return self.journal.held.lease.continuous_bound
-        return admission.bound(self.workers) or None
+        return admission.continuous_core_limit(self.workers) or None
 
     def attended(self) -> int:
         """Return how many workers are attended to; the earlier leader's before that."""
@@ -224,7 +224,7 @@
         return len(self.workers)
 
     def _kept_now_and_again(self) -> tuple[table.Write, ...]:
-        text = codec.to_json(self.model.learned())
+        text = codec.to_json(self.model.snapshot())
         return (table.Write(keys.LEARNED, text),)
 
     # What the store holds.
@@ -254,7 +254,7 @@
             self.clock.sleep(READ_INTERVAL)
         self.states = {}
         self.jobs_known = True
-        self.listing.limit()
+        self.listing.enforce_limit()
         log.info(
             "took over", jobs=len(self.jobs), workers=len(self.workers),
             token=self.journal.token,
@@ -270,7 +270,7 @@
             log.info("nothing learned yet", read=isinstance(found, result.Ok))
             return
         try:
-            self.model.restore(codec.from_json(row.value, interference.Learned))
+            self.model.restore(codec.from_json(row.value, interference.ModelSnapshot))
         except codec.DecodeError as exc:
             self._unreadable(row.key, exc)
 
@@ -281,9 +281,9 @@
                 break
             self.clock.sleep(READ_INTERVAL)
         states = {}
-        shared = yielding.Turns(self.clock)
+        shared = yielding.CooperativeYielder(self.clock)
         for row in found.ok_value.rows:
-            shared.share()
+            shared.yield_if_due()
             job_id = keys.job_id(row.key)
             try:
                 states[job_id] = progress.decode(row.value)
@@ -299,10 +299,10 @@
 
     def _take_jobs(self, changes: ports.Changes, whole: bool) -> None:
         """Take in new jobs and requests to cancel."""
-        shared = yielding.Turns(self.clock)
+        shared = yielding.CooperativeYielder(self.clock)
         for row in changes.rows:
             if not keys.is_cancellation(row.key):
-                shared.share()
+                shared.yield_if_due()
                 self._accept(row.key, row.value)
         for row in changes.rows:
             if keys.is_cancellation(row.key):
@@ -324,7 +324,7 @@
             held.restore(record)
         if held.over:
             self.ended.add(job.job_id)
-            self.sweeper.finished(key, held.drop_at)
+            self.sweeper.job_ended(key, held.drop_at)
             return
         self.jobs[job.job_id] = held
         self.counters.count("scheduler.jobs_taken")
@@ -355,10 +355,10 @@
         self._end(job, messages.State.CANCELLED)
 
     def _take_workers(self, changes: ports.Changes, whole: bool) -> None:
-        self.listing.take(changes, whole)
+        self.listing.apply_changes(changes, whole)
         self.changed.set()
 
-    def ask_namesakes(self, entry: messages.WorkerEntry) -> None:
+    def check_same_address(self, entry: messages.WorkerEntry) -> None:
         """Ask workers whose address an entry names whether their life is over.
 
         The entry itself does not say which of the two is the earlier one: that of
@@ -367,9 +367,11 @@
         """
         for worker in self.workers:
             if worker.entry.address == entry.address:
-                self.ask(worker, worker.entry)
+                self.check_incarnation(worker, worker.entry)
 
-    def ask(self, worker: fleet.Worker, entry: messages.WorkerEntry) -> None:
+    def check_incarnation(
+        self, worker: fleet.Worker, entry: messages.WorkerEntry
+    ) -> None:
         """Find out which life of a worker answers where an entry says."""
         if self.attending:
             self.greenlets.spawn(self.attendance.ask, worker, entry)
@@ -384,7 +386,7 @@
         )
         return worker
 
-    def attend(self, worker: fleet.Worker) -> None:
+    def start_polling(self, worker: fleet.Worker) -> None:
         """Begin to look at a worker."""
         # A look before all jobs are known would take their runs for unwanted ones.
         if not self.attending or not worker.entry.address:
@@ -395,7 +397,7 @@
         )  # fmt: skip
         self.greenlets.spawn(self.attendance.attend, worker)
 
-    def set_aside(self, worker: fleet.Worker) -> None:
+    def stop_polling(self, worker: fleet.Worker) -> None:
         """Attend no longer to a worker that is well and runs nothing."""
         self.workers.remove(worker)
         self.judge.forget(worker)
@@ -406,8 +408,8 @@
         later.longest_lease = self.longest_lease
         self.judge.forget(worker)
         self._void_tickets(worker)
-        self.reports.lost(worker, "restarted", later)
-        self.attend(later)
+        self.reports.handle_worker_lost(worker, "restarted", later)
+        self.start_polling(later)
         self.changed.set()
         return later
 
@@ -423,7 +425,7 @@
             return
         self.workers.remove(worker)
         self.judge.forget(worker)
-        self.reports.lost(worker, why)
+        self.reports.handle_worker_lost(worker, why)
         self.changed.set()
 
     def expire_forever(self) -> None:
@@ -434,8 +436,8 @@
         """
         while True:
             self.clock.sleep(EXPIRE_INTERVAL)
-            self.listing.judge_again()
-            self.listing.adjust()
+            self.listing.recheck_pools()
+            self.listing.rebalance()
             now = self.clock.elapsed()
             for worker in self.workers:
                 if not worker.entry.address and worker.expired(now):
@@ -492,7 +494,7 @@
         """Drop a job whose end is durable, once nothing of it runs."""
         if not job.swept:
             job.swept = True
-            self.sweeper.finished(job.key, job.drop_at)
+            self.sweeper.job_ended(job.key, job.drop_at)
         if any(task.live for task in job.tasks()):
             gevent.spawn_later(1.0, self._forget, job)
             return
--- a/src/mangosail/scheduler/sizes.py
+++ b/src/mangosail/scheduler/sizes.py
@@ -16,14 +16,14 @@
 TASK_BYTES = 64
 #: Bytes of a worker's name with its quotes and comma: the longest that a worker can
 #: have, and what is reckoned with before the workers are known.
-NAME_MARKS = 3
-LONGEST_NAME = 200 + NAME_MARKS
-USUAL_NAME = 40 + NAME_MARKS
+NAME_OVERHEAD_BYTES = 3
+MAX_NAME_BYTES = 200 + NAME_OVERHEAD_BYTES
+TYPICAL_NAME_BYTES = 40 + NAME_OVERHEAD_BYTES
 #: Bytes that are left so that one task can begin, and one that waits again go on.
-LEAST_ROOM = TASK_BYTES + 2 * LONGEST_NAME
+MIN_SPARE_BYTES = TASK_BYTES + 2 * MAX_NAME_BYTES
 
 
-def spare(job: messages.Job) -> int:
+def spare_bytes(job: messages.Job) -> int:
     """Return the bytes that a job's record has for tasks that are not done."""
     return table.MOST_VALUE - FRAME_BYTES - done_bytes(job)
 
@@ -38,14 +38,14 @@
     )
 
 
-def together(job: messages.Job) -> int:
+def concurrent_tasks(job: messages.Job) -> int:
     """Return how many of a job's tasks have to run at the same time."""
     lasting = sum(step.count for step in job.steps if step.continuous)
     gangs = [step.count for step in job.steps if step.gang and not step.continuous]
     return lasting * job.occurrences + max(gangs, default=0)
 
 
-def fault_in(job: messages.Job) -> str:
+def rejection_reason(job: messages.Job) -> str:
     """Return why a job can't be kept; empty if it can.
 
     Accepted, it would never be completed; or the store would refuse it, and its
@@ -54,10 +54,10 @@
     size = len(codec.to_json(job).encode())
     if size > table.MOST_VALUE:
         return f"steps: {size} bytes to keep, at most {table.MOST_VALUE}"
-    left = spare(job) - LEAST_ROOM
+    left = spare_bytes(job) - MIN_SPARE_BYTES
     if left < 0:
         return "steps, repeat_count: too many to keep what is done of them"
-    count, most = together(job), left // (TASK_BYTES + USUAL_NAME)
+    count, most = concurrent_tasks(job), left // (TASK_BYTES + TYPICAL_NAME_BYTES)
     if count > most:
         return f"steps: {count} tasks that run together, at most {most}"
     return ""
--- a/src/mangosail/scheduler/stragglers.py
+++ b/src/mangosail/scheduler/stragglers.py
@@ -11,15 +11,15 @@
 
 #: Seconds without any progress after which a task counts as stalled. Half-second
 #: figures and looks are over by then.
-STALL_TERM = 1.3
+STALL_TIMEOUT_S = 1.3
 #: Percents of an estimate that a task may take for one percent of progress.
-STALL_ESTIMATES = 0.05
+STALL_ESTIMATE_SHARE = 0.05
 #: Seconds that a task must have run until its speed is judged.
-LEAST_AGE = 0.5
+MIN_AGE_S = 0.5
 #: Seconds for which nothing is placed on a worker that tasks were moved from.
-SET_ASIDE = 2.5
+QUARANTINE_S = 2.5
 #: Moves of one task at most; then it stays wherever it is.
-MOST_MOVES = 2
+MAX_MOVES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,30 +30,30 @@
     worker: fleet.Worker
 
 
-def find(worker: fleet.Worker, now: float) -> list[Straggler]:
+def find_stragglers(worker: fleet.Worker, now: float) -> list[Straggler]:
     """Return the tasks on a worker that should go on elsewhere."""
-    judged = [task for task in worker.tasks.values() if may_move(task, now)]
-    stalled = [task for task in judged if stands_still(task, now)]
+    judged = [task for task in worker.tasks.values() if is_movable(task, now)]
+    stalled = [task for task in judged if is_stalled(task, now)]
     if len(stalled) < len(judged):
         return []
     return [Straggler(task, worker) for task in stalled]
 
 
-def may_move(task: progress.Task, now: float) -> bool:
+def is_movable(task: progress.Task, now: float) -> bool:
     """Tell whether the speed of a task can be judged, and the task be moved."""
     step = task.step
     return (
         task.phase is progress.Phase.RUNNING
         and not step.continuous
         and not step.gang
-        and task.speed_limit == throttling.FULL
-        and task.moves < MOST_MOVES
-        and now - max(task.started_at, task.throttled_at) >= LEAST_AGE
+        and task.speed_limit == throttling.FULL_SPEED
+        and task.moves < MAX_MOVES
+        and now - max(task.started_at, task.throttled_at) >= MIN_AGE_S
     )
 
 
-def stands_still(task: progress.Task, now: float) -> bool:
+def is_stalled(task: progress.Task, now: float) -> bool:
     """Tell whether a task has not moved for long."""
-    term = max(STALL_TERM, task.step.estimate * STALL_ESTIMATES)
+    term = max(STALL_TIMEOUT_S, task.step.estimate * STALL_ESTIMATE_SHARE)
     since = max(task.moved_at, task.throttled_at)
     return now - since >= term
--- a/src/mangosail/scheduler/sweeping.py
+++ b/src/mangosail/scheduler/sweeping.py
@@ -19,9 +19,9 @@
 log = logbook.Logger("sweeping")
 
 #: Seconds between sweeps.
-INTERVAL = 1.5
+SWEEP_INTERVAL_S = 1.5
 #: Rows changed by one transaction at most; the platform takes 100.
-MOST_ROWS = 80
+MAX_ROWS = 80
 
 
 class Sweeper:
@@ -30,40 +30,40 @@
     def __init__(
         self,
         rows: table.Table,
-        dropped: cabc.Callable[[str], None],
+        on_dropped: cabc.Callable[[str], None],
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
         #: Told of each job of which nothing is kept any more.
-        self.dropped = dropped
+        self.on_dropped = on_dropped
         self.clock = clock
         self.counters = counters
         #: Keys of jobs' rows whose text is not needed any more.
-        self.over: list[str] = []
+        self.ended: list[str] = []
         #: Wall times from which rows may be dropped, with their keys.
         self.due: list[tuple[float, str]] = []
         #: Writes that failed, for the next sweep.
         self.failed: list[table.Write] = []
 
-    def finished(self, job_key: str, drop_at: float) -> None:
+    def job_ended(self, job_key: str, drop_at: float) -> None:
         """Clear a job's row soon, and drop all that is kept of it after `drop_at`."""
-        self.over.append(job_key)
-        self.drop_later(job_key, drop_at)
+        self.ended.append(job_key)
+        self.schedule_drop(job_key, drop_at)
 
-    def drop_later(self, job_key: str, drop_at: float) -> None:
+    def schedule_drop(self, job_key: str, drop_at: float) -> None:
         """Drop all that is kept of a job after the wall time `drop_at`."""
         heapq.heappush(self.due, (drop_at, job_key))
 
     def run(self) -> None:
         """Sweep for ever."""
         while True:
-            self.clock.sleep(INTERVAL)
+            self.clock.sleep(SWEEP_INTERVAL_S)
             self.sweep()
 
     def sweep(self) -> None:
         """Clear and drop what is due; what fails is left for the next sweep."""
-        over, self.over = self.over, []
+        over, self.ended = self.ended, []
         writes, self.failed = self.failed, []
         writes += [table.Write(key, keys.OVER) for key in over]
         while self.due and self.due[0][0] <= self.clock.wall():
@@ -80,7 +80,7 @@
                 continue
             for write in group:
                 if write.value is None:
-                    self.dropped(keys.job_id(write.key))
+                    self.on_dropped(keys.job_id(write.key))
 
 
 def by_shard(writes: cabc.Iterable[table.Write]) -> list[list[table.Write]]:
@@ -89,7 +89,7 @@
     for write in writes:
         groups.setdefault(keys.shard_of(write.key), []).append(write)
     return [
-        group[first : first + MOST_ROWS]
+        group[first : first + MAX_ROWS]
         for group in groups.values()
-        for first in range(0, len(group), MOST_ROWS)
+        for first in range(0, len(group), MAX_ROWS)
     ]
--- a/src/mangosail/scheduler/worker_limit.py
+++ b/src/mangosail/scheduler/worker_limit.py
@@ -19,13 +19,13 @@
 WORKERS_PER_CORE = 400
 #: Workers that any leader attends to: one with a small part of a core is soon replaced
 #: by a faster one, and is the last one left where there is none.
-LEAST_WORKERS = 300
+MIN_WORKERS = 300
 
 #: What workers have in common that a task may ask for.
 Group = tuple[str, str, frozenset[str]]
 
 
-def bound(cores: float, connections: int) -> int:
+def max_workers(cores: float, connections: int) -> int:
     """Return how many workers a leader can attend to.
 
     `connections` is how many workers its connections are enough for::
@@ -33,7 +33,7 @@
         >>> bound(2.0, 2400), bound(2.0, 1000), bound(0.3, 1000)
         (800, 800, 300)
     """
-    return min(max(int(cores * WORKERS_PER_CORE), LEAST_WORKERS), connections)
+    return min(max(int(cores * WORKERS_PER_CORE), MIN_WORKERS), connections)
 
 
 def group_of(entry: messages.WorkerEntry) -> Group:
@@ -41,17 +41,17 @@
     return entry.service, entry.data_centre, entry.labels
 
 
-def choose(
+def select(
     entries: cabc.Iterable[messages.WorkerEntry],
     count: int,
-    attended: cabc.Iterable[messages.WorkerEntry] = (),
+    already_polled: cabc.Iterable[messages.WorkerEntry] = (),
 ) -> list[messages.WorkerEntry]:
     """Return `count` entries, or all, of the groups with the fewest in turn.
 
     A task may ask for a label, and a whole group may be lost at once: with some of each
     there is always a place. `attended` are those that the leader has already.
     """
-    counts = collections.Counter(group_of(entry) for entry in attended)
+    counts = collections.Counter(group_of(entry) for entry in already_polled)
     ranked = []
     for entry in sorted(entries, key=lambda entry: (entry.draining, entry.name)):
         group = group_of(entry)
--- a/src/mangosail/scheduler/worker_speeds.py
+++ b/src/mangosail/scheduler/worker_speeds.py
@@ -13,38 +13,38 @@
 
 #: Seconds between two looks from which progress is told from rounding: workers list it
 #: in whole percents, and some bring it up to date five times a second.
-LEAST_BETWEEN = 0.4
+MIN_SAMPLE_INTERVAL_S = 0.4
 #: Share of a new sample in what is known of a worker; samples scatter by a factor of
 #: 1.5, and by 2 where only the expected seconds say what is usual.
-RATE = 0.3
-GUESSED_RATE = 0.1
+SAMPLE_WEIGHT = 0.3
+ESTIMATE_SAMPLE_WEIGHT = 0.1
 #: Bound on the logarithm of a sample, so that one odd task proves nothing.
-MOST_SAMPLE = 2.0
+MAX_LOG_SAMPLE = 2.0
 #: Share of its cores that a task must have had for its progress to tell anything.
-LEAST_SHARE = 0.3
+MIN_CPU_SHARE = 0.3
 #: Samples of a step from which they tell more than its expected seconds.
-LEAST_SAMPLES = 4
+MIN_SAMPLES = 4
 #: Speed below which a worker gets no short tasks, as a share of the others'.
-SLOW = 0.5
+SLOW_SPEED_RATIO = 0.5
 #: Seconds by which what was seen of a worker counts less by a factor of e: one that
 #: gets nothing gives no samples, and is to be tried again.
-FORGET_TERM = 5.0
+DECAY_S = 5.0
 #: Share of the workers that may count as slow. Where more are, what was expected is
 #: wrong rather than they, and turning all away would leave the work undone.
-MOST_SLOW_SHARE = 0.34
+MAX_SLOW_SHARE = 0.34
 #: Seconds that a run is let go on before it is judged, and the share of its time by
 #: which going on must be dearer than beginning anew.
-LEAST_AGE = 0.4
-MOVE_GAIN = 1.3
+MIN_AGE_S = 0.4
+MIN_MOVE_GAIN = 1.3
 
 
-class Speeds:
+class WorkerSpeeds:
     """Learns the workers' speeds."""
 
-    def __init__(self, expected: estimates.Estimates) -> None:
-        self.expected = expected
+    def __init__(self, estimator: estimates.DurationEstimator) -> None:
+        self.estimator = estimator
 
-    def note(
+    def record(
         self,
         worker: fleet.Worker,
         task: progress.Task,
@@ -53,16 +53,16 @@
     ) -> None:
         """Take in the progress of a run since the last look at it."""
         between = now - task.seen_at
-        if task.seen_run != row.run or task.speed_limit != throttling.FULL:
+        if task.seen_run != row.run or task.speed_limit != throttling.FULL_SPEED:
             task.seen_at, task.seen_percent, task.seen_run = now, row.percent, row.run
             return
         gained = row.percent - task.seen_percent
-        if between < LEAST_BETWEEN or gained <= 0 or task.step.continuous:
+        if between < MIN_SAMPLE_INTERVAL_S or gained <= 0 or task.step.continuous:
             # One that stands still is for `stragglers` to judge.
             return
         task.seen_at, task.seen_percent = now, row.percent
-        share = share_of(task, row)
-        if share < LEAST_SHARE:
+        share = cpu_share(task, row)
+        if share < MIN_CPU_SHARE:
             return
         rate = math.log(gained / 100 / between / share)
         self._learn(worker, task.step_run, rate, now)
@@ -71,15 +71,15 @@
         self, worker: fleet.Worker, step_run: progress.StepRun, rate: float, now: float
     ) -> None:
         """Compare the rate of one task, as a logarithm, with what is usual."""
-        usual = -math.log(self.expected.seconds(step_run))
-        weight = GUESSED_RATE
-        if step_run.rate_samples >= LEAST_SAMPLES:
+        usual = -math.log(self.estimator.estimate(step_run))
+        weight = ESTIMATE_SAMPLE_WEIGHT
+        if step_run.rate_samples >= MIN_SAMPLES:
             usual = step_run.rates / step_run.rate_samples
-            weight = RATE
+            weight = SAMPLE_WEIGHT
         step_run.rates += rate
         step_run.rate_samples += 1
-        sample = min(max(rate - usual, -MOST_SAMPLE), MOST_SAMPLE)
-        known = known_of(worker, now)
+        sample = min(max(rate - usual, -MAX_LOG_SAMPLE), MAX_LOG_SAMPLE)
+        known = current_log_speed(worker, now)
         worker.speed = known + weight * (sample - known)
         worker.speed_at = now
 
@@ -90,37 +90,40 @@
         step = task.step
         if task.phase is not progress.Phase.RUNNING or step.continuous or step.gang:
             return False
-        if task.speed_limit < throttling.FULL or now - task.started_at < LEAST_AGE:
+        if (
+            task.speed_limit < throttling.FULL_SPEED
+            or now - task.started_at < MIN_AGE_S
+        ):
             return False
-        speed = math.exp(known_of(worker, now))
+        speed = math.exp(current_log_speed(worker, now))
         rest = 1 - task.percent / 100
         anew = rest if step.checkpointing else 1.0
-        return rest / speed > MOVE_GAIN * anew
+        return rest / speed > MIN_MOVE_GAIN * anew
 
 
-def share_of(task: progress.Task, row: messages.Running) -> float:
+def cpu_share(task: progress.Task, row: messages.Running) -> float:
     """Return the share of its cores that a task had lately."""
     if row.figure <= 0 or not task.step.best_effort:
         return 1.0
     return min(row.figure / 1000 / max(task.step.need.cpus, 0.001), 1.0)
 
 
-def known_of(worker: fleet.Worker, now: float) -> float:
+def current_log_speed(worker: fleet.Worker, now: float) -> float:
     """Return the logarithm of a worker's speed, as far as it still counts."""
-    return worker.speed * math.exp((worker.speed_at - now) / FORGET_TERM)
+    return worker.speed * math.exp((worker.speed_at - now) / DECAY_S)
 
 
-def slow(workers: fleet.Fleet, now: float) -> frozenset[str]:
+def slow_workers(workers: fleet.Fleet, now: float) -> frozenset[str]:
     """Return the workers that should get no short tasks now.
 
     They are compared with the one in the middle: slow workers have their tasks for
     longer, so what is usual in a step leans towards them.
     """
-    known = {w.name: known_of(w, now) for w in workers if w.usable(now)}
+    known = {w.name: current_log_speed(w, now) for w in workers if w.usable(now)}
     if not known:
         return frozenset()
-    bound = statistics.median(known.values()) + math.log(SLOW)
+    bound = statistics.median(known.values()) + math.log(SLOW_SPEED_RATIO)
     found = [name for name, speed in known.items() if speed < bound]
-    if len(found) > MOST_SLOW_SHARE * len(known):
+    if len(found) > MAX_SLOW_SHARE * len(known):
         return frozenset()
     return frozenset(found)
--- a/src/mangosail/scheduler/yielding.py
+++ b/src/mangosail/scheduler/yielding.py
@@ -14,31 +14,31 @@
 
 #: Seconds of work after which others get a turn: a sixth of the time between renewals
 #: of the lease.
-TURN_TERM = 0.05
+YIELD_INTERVAL_S = 0.05
 
 
-class Turns:
-    """Lets others run after each `TURN_TERM` of work, by default just once each.
+class CooperativeYielder:
+    """Lets others run after each `YIELD_INTERVAL_S` of work, by default just once each.
 
     With `rest` the work pauses for that many seconds for each second of it.
     """
 
-    def __init__(self, clock: clocks.Clock, rest: float = 0.0) -> None:
+    def __init__(self, clock: clocks.Clock, pause_ratio: float = 0.0) -> None:
         self.clock = clock
-        self.rest = rest
+        self.pause_ratio = pause_ratio
         self.resumed_at = clock.elapsed()
         #: Seconds that were worked, up to the latest pause.
-        self.worked = 0.0
+        self.worked_s = 0.0
 
-    def share(self) -> None:
+    def yield_if_due(self) -> None:
         """Let others run if it is time."""
         now = self.clock.elapsed()
-        if now < self.resumed_at + TURN_TERM:
+        if now < self.resumed_at + YIELD_INTERVAL_S:
             return
-        self.worked += now - self.resumed_at
-        self.clock.sleep(self.rest * (now - self.resumed_at))
+        self.worked_s += now - self.resumed_at
+        self.clock.sleep(self.pause_ratio * (now - self.resumed_at))
         self.resumed_at = self.clock.elapsed()
 
-    def total(self) -> float:
+    def total_worked(self) -> float:
         """Return the seconds that were worked, without the pauses."""
-        return self.worked + self.clock.elapsed() - self.resumed_at
+        return self.worked_s + self.clock.elapsed() - self.resumed_at
