--- a/src/mangosail/intake/catalogs.py
+++ b/src/mangosail/intake/catalogs.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        rows: ports.Rows,
+        rows: ports.WatchableTable,
         key: str,
         decode: cabc.Callable[[str], messages.Catalog | None],
         clock: clocks.Clock,
@@ -55,8 +55,8 @@
         #: Elapsed time at which a peer last answered in the place of this instance.
         self.doubted_at: float | None = None
         prefix = key[: key.rindex("/") + 1]
-        self.follower = row_watcher.Follower(
-            rows, prefix, self._take, clock, counters, FOLLOW_WAIT, newest_only=True
+        self.follower = row_watcher.RowWatcher(
+            rows, prefix, self._take, clock, counters, FOLLOW_WAIT, latest_only=True
         )
 
     @property
@@ -98,7 +98,7 @@
         seconds to arrive on a narrow link; callers were refused meanwhile for want of a
         whole answer. It is not waited for beyond the time in which it must be in force.
         """
-        fresh_at, heard_at = self.follower.fresh_at, self.follower.heard_at
+        fresh_at, heard_at = self.follower.fresh_at, self.follower.last_data_at
         if fresh_at is None:
             return True
         now = self.clock.elapsed()
@@ -119,7 +119,7 @@
         instance that hears nothing from the store does not know of a newer one.
         """
         fresh_at = self.follower.fresh_at
-        if fresh_at is None or not self.follower.arriving:
+        if fresh_at is None or not self.follower.active_responses:
             return False
         return self.clock.elapsed() - fresh_at > self.most_age
 
--- a/src/mangosail/intake/job_service.py
+++ b/src/mangosail/intake/job_service.py
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        rows: ports.Rows,
+        rows: ports.WatchableTable,
         away: cabc.Callable[[], bool],
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -187,7 +187,7 @@
             if row is None:
                 continue
             if key == keys.state(job_id):
-                return result.Ok(progress.decode(row.value).state)
+                return result.Ok(progress.decode_record(row.value).state)
             return result.Ok(messages.State.QUEUED)
         return result.Err(errors.UnknownJob())
 
@@ -238,7 +238,7 @@
             self.rows, transaction, lambda: self._landed(key), self.clock
         )
         while True:
-            done = attempts.once()
+            done = attempts.try_commit()
             if isinstance(done, result.Ok):
                 return done
             error = done.err_value
--- a/src/mangosail/intake/peers.py
+++ b/src/mangosail/intake/peers.py
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        rows: ports.Rows,
+        rows: ports.WatchableTable,
         own: Peer,
         clock: clocks.Clock,
         counters: telemetry.Counters,
--- a/src/mangosail/platform/decoding.py
+++ b/src/mangosail/platform/decoding.py
@@ -120,8 +120,8 @@
         ),
         limits=messages.Limits(
             body_bytes=found.limits.max_body_bytes,
-            headers_term=found.limits.header_timeout_ms / 1000,
-            idle_term=found.limits.idle_timeout_ms / 1000,
+            headers_timeout=found.limits.header_timeout_ms / 1000,
+            idle_timeout=found.limits.idle_timeout_ms / 1000,
         ),
     )
 
@@ -138,5 +138,5 @@
         timeout=route.timeout_ms / 1000,
         stretch=route.stretch,
         target=route.target_duration_ms / 1000,
-        advised=route.advice is not None,
+        needs_advice=route.advice is not None,
     )
--- a/src/mangosail/platform/entries.py
+++ b/src/mangosail/platform/entries.py
@@ -57,7 +57,7 @@
             labels=frozenset(found.labels),
             draining=found.state == DRAINING,
             remaining=None if remaining is None else remaining / 1000,
-            born=found.born,
+            incarnation=found.born,
         )
     )
 
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -128,13 +128,13 @@
     def _lead_forever(self) -> None:
         """Stand by for the lease, and schedule whenever it is held."""
         while not self.stopping:
-            held = self.leadership.watch()
+            held = self.leadership.check()
             if held is None:
-                self.clock.sleep(self.leadership.pause())
+                self.clock.sleep(self.leadership.next_check_delay())
                 continue
             self._lead(held)
 
-    def _lead(self, held: journal.Held) -> None:
+    def _lead(self, held: journal.HeldLease) -> None:
         self.scheduler = scheduler.Scheduler(
             self.store,
             self.workers,
@@ -150,7 +150,7 @@
             worker_limit.max_workers(self.leadership.cores, self.workers.most),
             self.settings.bounds.hold_max_ms / 1000,
         )
-        keeping = gevent.spawn(self.leadership.keep, self.scheduler.stop)
+        keeping = gevent.spawn(self.leadership.release_when_slow, self.scheduler.stop)
         try:
             self.scheduler.run()
         except Exception:
--- a/src/mangosail/platform/store.py
+++ b/src/mangosail/platform/store.py
@@ -91,7 +91,7 @@
         return found.map(lambda page: [row_of(row) for row in page.rows])
 
     def read_all(
-        self, prefix: str, heard: ports.Heard = ports.unheeded
+        self, prefix: str, heard: ports.OnData = ports.ignore_data
     ) -> result.Result[ports.Changes, errors.Unavailable]:
         """Return every row under `prefix` and a version to follow changes from.
 
@@ -105,7 +105,7 @@
         return self._read_shards(kind, heard)
 
     def _read_shards(
-        self, kind: str, heard: ports.Heard
+        self, kind: str, heard: ports.OnData
     ) -> result.Result[ports.Changes, errors.Unavailable]:
         """Return the rows of all shards, which are read at the same time."""
         found = self._shards(kind)
@@ -132,7 +132,7 @@
         return decoded(answer, wire.Parts)
 
     def _read_shard(
-        self, kind: str, shard: str, heard: ports.Heard
+        self, kind: str, shard: str, heard: ports.OnData
     ) -> result.Result[ports.Changes, errors.Unavailable]:
         query = {"table": kind, "part": shard, "limit": str(PAGE)}
         rows: list[table.Row] = []
@@ -153,7 +153,7 @@
         prefix: str,
         after: int,
         wait: float,
-        heard: ports.Heard = ports.unheeded,
+        heard: ports.OnData = ports.ignore_data,
         most: int | None = None,
     ) -> result.Result[
         ports.Changes, errors.Unavailable | ports.HistoryLost | ports.TooLong
@@ -217,7 +217,7 @@
         self,
         query: dict[str, str],
         caller: http_caller.Caller,
-        heard: ports.Heard | None = None,
+        heard: ports.OnData | None = None,
     ) -> result.Result[wire.Page, errors.Unavailable]:
         path = "/-/rows-get?" + urllib.parse.urlencode(query)
         answer = caller.call("GET", path, timeout=READ_TIMEOUT, heard=heard)
--- a/src/mangosail/platform/workers.py
+++ b/src/mangosail/platform/workers.py
@@ -99,22 +99,22 @@
         body = codec.to_json(wire.Pace(task, run, percent, token))
         return self._order(worker, "/-/pace", body)
 
-    def look(
+    def poll(
         self,
         worker: messages.WorkerEntry,
         token: int,
         acknowledged: int,
         deadline: int | None,
         wait: float,
-        aside: bool = False,
-    ) -> result.Result[messages.Look, errors.OrderError]:
+        out_of_band: bool = False,
+    ) -> result.Result[messages.WorkerReport, errors.OrderError]:
         """Extend the lease to `deadline` and return what runs and what ended."""
         body: dict[str, t.Any] = {"fencing_token": token, "last_seen": acknowledged}
         if deadline is not None:
             body["deadline_ms"] = deadline
         if wait:
             body["wait_ms"] = int(wait * 1000)
-        callers = self.orders if aside else self.looks
+        callers = self.orders if out_of_band else self.looks
         answer = callers.get(worker.name, worker.address).call(
             "POST",
             "/-/hold",
@@ -186,19 +186,19 @@
         return wire.Ordered()
 
 
-def look_of(held: wire.Held) -> messages.Look:
+def look_of(held: wire.Held) -> messages.WorkerReport:
     """Return a look from the rows in which the worker gives it."""
     running = tuple(
-        messages.Running(
+        messages.RunningTask(
             row[0], int(row[1]), row[2] or "", int(row[3]),
             float(row[4]) if len(row) > 4 and row[4] is not None else 0.0,
         )
         for row in held.running
     )  # fmt: skip
     ended = tuple(
-        messages.End(
+        messages.RunEnd(
             int(row[0]), row[1], int(row[2]), messages.Outcome(row[3]), row[4] or ""
         )
         for row in held.ended
     )
-    return messages.Look(int(held.clock_ms), running, ended, held.born)
+    return messages.WorkerReport(int(held.clock_ms), running, ended, held.born)
--- a/src/mangosail/scheduler/admission.py
+++ b/src/mangosail/scheduler/admission.py
@@ -111,5 +111,5 @@
 
     def _reserved_cores(self) -> float:
         return sum(
-            continuous_cores(job.job) for job in self.jobs.values() if not job.over
+            continuous_cores(job.job) for job in self.jobs.values() if not job.ended
         )
--- a/src/mangosail/scheduler/advice.py
+++ b/src/mangosail/scheduler/advice.py
@@ -71,10 +71,10 @@
 
     def usable_tickets(self, step_run: progress.StepRun, now: float) -> dict[str, str]:
         """Return the tickets that can be used now, and ask for more if none can."""
-        if step_run.tickets and now < step_run.tickets_until:
+        if step_run.tickets and now < step_run.tickets_valid_until:
             return step_run.tickets
-        if not step_run.asking and now >= step_run.ask_at:
-            step_run.asking = True
+        if not step_run.advice_pending and now >= step_run.next_advice_at:
+            step_run.advice_pending = True
             gevent.spawn(self._request_tickets, step_run, now)
         return {}
 
@@ -83,19 +83,21 @@
         asked_at = self.clock.elapsed()
         answer = self.advisor.ask(step_run.name, names)
         self.counters.time("advice.asked", self.clock.elapsed() - asked_at)
-        step_run.asking = False
+        step_run.advice_pending = False
         if isinstance(answer, result.Err):
             self.counters.count("advice.failed")
             log.info("no advice", step=step_run.name, reason=answer.err_value.reason)
-            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL_S
+            step_run.next_advice_at = self.clock.elapsed() + RETRY_INTERVAL_S
             return
         tickets = answer.ok_value
-        step_run.advised |= set(tickets.by_worker)
-        step_run.refused |= set(names) - set(tickets.by_worker)
+        step_run.approved_workers |= set(tickets.by_worker)
+        step_run.refused_workers |= set(names) - set(tickets.by_worker)
         step_run.tickets = dict(tickets.by_worker)
-        step_run.tickets_until = asked_at + tickets.lifetime * USABLE_LIFETIME_SHARE
+        step_run.tickets_valid_until = (
+            asked_at + tickets.lifetime * USABLE_LIFETIME_SHARE
+        )
         if not tickets.by_worker:
-            step_run.ask_at = self.clock.elapsed() + RETRY_INTERVAL_S
+            step_run.next_advice_at = self.clock.elapsed() + RETRY_INTERVAL_S
         log.info(
             "advised", step=step_run.name, asked=len(names), may=len(tickets.by_worker)
         )
@@ -108,10 +110,13 @@
             worker
             for worker in self.workers
             if placing.is_eligible(step_run.step, worker, service, now)
-            and worker.name not in step_run.refused
+            and worker.name not in step_run.refused_workers
         ]
         able.sort(
-            key=lambda worker: (worker.name in step_run.advised, worker.free.cpus),
+            key=lambda worker: (
+                worker.name in step_run.approved_workers,
+                worker.free.cpus,
+            ),
             reverse=True,
         )
         return [worker.name for worker in able[:MAX_WORKERS_PER_CALL]]
--- a/src/mangosail/scheduler/commits.py
+++ b/src/mangosail/scheduler/commits.py
@@ -17,7 +17,7 @@
 from mangosail.platform import table
 
 #: Seconds after which an answer is late: several times what a commit takes.
-ANSWER_TERM = 0.25
+ANSWER_TIMEOUT_S = 0.25
 #: How many times the time of a reading a commit may take: twice what a slow store
 #: was seen to need.
 READINGS = 6.0
@@ -46,7 +46,7 @@
         #: Calls that were made; those without an answer may be on their way.
         self.calls: list[gevent.Greenlet] = []
 
-    def once(self) -> result.Result[int, store_errors.CommitError]:
+    def try_commit(self) -> result.Result[int, store_errors.CommitError]:
         """Commit once; if the answer is late, find out whether it took effect.
 
         Returns `Uncertain` once the answer is later than a store as slow as its
@@ -65,7 +65,7 @@
     def _once(self) -> result.Result[int, store_errors.CommitError]:
         call = gevent.spawn(self.rows.commit, self.transaction)
         self.calls.append(call)
-        term = ANSWER_TERM
+        term = ANSWER_TIMEOUT_S
         for _ in range(LOOKS):
             call.join(term)
             if call.ready():
@@ -74,5 +74,5 @@
             version = self.landed()
             if version is not None:
                 return result.Ok(version)
-            term = max(ANSWER_TERM, READINGS * (self.clock.elapsed() - asked_at))
+            term = max(ANSWER_TIMEOUT_S, READINGS * (self.clock.elapsed() - asked_at))
         return result.Err(store_errors.Uncertain("late"))
--- a/src/mangosail/scheduler/crashes.py
+++ b/src/mangosail/scheduler/crashes.py
@@ -87,8 +87,8 @@
                 and late[0].start_confirmed
                 and not self._is_correlated(worker)
             ):
-                late[0].task.clear_crashes += 1
-            self.crash_times.append(worker.heard_at)
+                late[0].task.certain_crashes += 1
+            self.crash_times.append(worker.last_contact_at)
         for suspect in late or suspects:
             suspect.task.crashes += 1
             suspect.task.suspect |= suspect.started_recently
@@ -111,14 +111,14 @@
     def _is_correlated(self, worker: fleet.Worker) -> bool:
         """Tell whether other workers fell silent at about the same time."""
         silent = [
-            other.heard_at
+            other.last_contact_at
             for other in self.workers
-            if other is not worker and other.known and not other.reachable
+            if other is not worker and other.contacted and not other.reachable
         ]
         near = [
             heard_at
             for heard_at in (*silent, *self.crash_times)
-            if abs(heard_at - worker.heard_at) <= CORRELATION_WINDOW_S
+            if abs(heard_at - worker.last_contact_at) <= CORRELATION_WINDOW_S
         ]
         return len(near) + 1 >= MIN_CORRELATED_WORKERS
 
@@ -126,7 +126,7 @@
 def find_suspects(worker: fleet.Worker) -> tuple[Suspect, ...]:
     """Return the tasks that may just have begun on a worker."""
     return tuple(
-        Suspect(task, is_recent_start(worker, task), task.began)
+        Suspect(task, is_recent_start(worker, task), task.start_confirmed)
         for task in worker.tasks.values()
         if may_have_started(task) and not was_stable(worker, task)
     )
@@ -134,12 +134,12 @@
 
 def may_have_started(task: progress.Task) -> bool:
     """Tell whether the task's present run may exist or have existed."""
-    return task.phase is not progress.Phase.STARTING or task.ordered_at is not None
+    return task.phase is not progress.Phase.STARTING or task.start_sent_at is not None
 
 
 def was_stable(worker: fleet.Worker, task: progress.Task) -> bool:
     """Tell whether a run had gone on for long when its worker was last heard."""
-    return task.began and is_stable(task, worker.heard_at)
+    return task.start_confirmed and is_stable(task, worker.last_contact_at)
 
 
 def is_recent_start(worker: fleet.Worker, task: progress.Task) -> bool:
@@ -147,9 +147,9 @@
 
     One that an earlier leader sent, and that was never listed, may have been.
     """
-    if task.ordered_at is None:
-        return not task.began
-    return worker.heard_at - task.ordered_at <= fleet.ALONE_TERM
+    if task.start_sent_at is None:
+        return not task.start_confirmed
+    return worker.last_contact_at - task.start_sent_at <= fleet.ISOLATED_START_S
 
 
 def is_stable(task: progress.Task, now: float) -> bool:
@@ -164,10 +164,10 @@
 
 def reset_crash_counts(task: progress.Task) -> None:
     """Forget what counted against a task."""
-    task.crashes = task.clear_crashes = 0
+    task.crashes = task.certain_crashes = 0
     task.suspect = False
 
 
 def exceeds_crash_limit(task: progress.Task) -> bool:
     """Tell whether a task is to be given up."""
-    return task.clear_crashes >= MAX_CERTAIN_CRASHES or task.crashes >= MAX_CRASHES
+    return task.certain_crashes >= MAX_CERTAIN_CRASHES or task.crashes >= MAX_CRASHES
--- a/src/mangosail/scheduler/estimates.py
+++ b/src/mangosail/scheduler/estimates.py
@@ -74,8 +74,8 @@
     def record(self, task: progress.Task, seconds: float) -> None:
         """Take in that a whole run of a task took so long."""
         step_run = task.step_run
-        step_run.measured += max(seconds, MIN_DURATION_S)
-        step_run.measurements += 1
+        step_run.measured_seconds += max(seconds, MIN_DURATION_S)
+        step_run.measured_runs += 1
         line = self.fits.setdefault(task.job.job.queue, LogLinearFit())
         line.add(
             log_declared_duration(task.step), math.log(max(seconds, MIN_DURATION_S))
@@ -83,8 +83,8 @@
 
     def estimate(self, step_run: progress.StepRun) -> float:
         """Return the seconds to expect of a task of the step that begins now."""
-        if step_run.measurements:
-            return step_run.measured / step_run.measurements
+        if step_run.measured_runs:
+            return step_run.measured_seconds / step_run.measured_runs
         line = self.fits.get(step_run.job.job.queue)
         declared = log_declared_duration(step_run.step)
         return math.exp(line.predict(declared) if line else declared)
--- a/src/mangosail/scheduler/interference.py
+++ b/src/mangosail/scheduler/interference.py
@@ -47,7 +47,7 @@
 
 def has_high_latency(worker: fleet.Worker) -> bool:
     """Tell whether a tail latency on the worker was too high at its last look."""
-    return any(task.high_since is not None for task in worker.tasks.values())
+    return any(task.latency_high_since is not None for task in worker.tasks.values())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
         )
 
     def learn(
-        self, worker: fleet.Worker, running: tuple[messages.Running, ...]
+        self, worker: fleet.Worker, running: tuple[messages.RunningTask, ...]
     ) -> None:
         """Take in the latencies on a worker, and what worked beside them."""
         shares = measured_shares(worker, running)
@@ -106,8 +106,12 @@
             return
         for row in running:
             task = worker.tasks.get(row.task)
-            if task is not None and is_latency_critical(task.step) and row.figure > 0:
-                self._learn_latency(task, row.figure, shares)
+            if (
+                task is not None
+                and is_latency_critical(task.step)
+                and row.measurement > 0
+            ):
+                self._learn_latency(task, row.measurement, shares)
 
     def _learn_latency(
         self, task: progress.Task, latency: float, shares: dict[str, float]
@@ -139,7 +143,7 @@
 
         Negative if one would come too close to its target; 1 if no such task is there.
         """
-        if not worker.latency_critical:
+        if not worker.latency_critical_count:
             return 1.0
         shares = planned_shares(worker)
         added = step.need.cpus / worker.entry.capacity.cpus
@@ -175,16 +179,16 @@
 
 
 def measured_shares(
-    worker: fleet.Worker, running: tuple[messages.Running, ...]
+    worker: fleet.Worker, running: tuple[messages.RunningTask, ...]
 ) -> dict[str, float]:
     """Return the share of the worker's cores that each best-effort image used."""
     cores = worker.entry.capacity.cpus
     shares: dict[str, float] = {}
     for row in running:
         task = worker.tasks.get(row.task)
-        if task is not None and task.step.best_effort and row.figure > 0:
+        if task is not None and task.step.best_effort and row.measurement > 0:
             image = task.step.image
-            shares[image] = shares.get(image, 0.0) + row.figure / 1000 / cores
+            shares[image] = shares.get(image, 0.0) + row.measurement / 1000 / cores
     return shares
 
 
--- a/src/mangosail/scheduler/journal.py
+++ b/src/mangosail/scheduler/journal.py
@@ -28,22 +28,22 @@
 log = logbook.Logger("journal")
 
 #: Rows that one transaction writes at most; the platform takes 100 entries.
-MOST_ROWS = 80
+MAX_TRANSACTION_ROWS = 80
 #: Bytes of rows that one transaction writes, unless one row alone takes more: 75 KB on
 #: the wire, which a link of 5 Mbit/s carries in half of `commits.ANSWER_TIMEOUT_S`.
-MOST_BYTES = 50_000
+MAX_TRANSACTION_BYTES = 50_000
 #: Seconds between renewals of the lease; a third of what standbys wait.
-RENEWAL_INTERVAL = 0.3
+RENEWAL_INTERVAL_S = 0.3
 #: Share of the longest time between renewals that still counts at the next one, so that
 #: half of it is forgotten in 4 s.
 INTERVAL_KEPT = 0.95
 #: Renewals of the lease between writes of what is kept now and again.
 EXTRA_RENEWALS = 7
 #: Seconds before a transaction that was refused is sent again.
-RETRY_INTERVAL = 0.05
+RETRY_INTERVAL_S = 0.05
 #: Seconds for which further changes are gathered once one waits. A transaction
 #: costs the same for 1 and for 80 rows.
-GATHER_TERM = 0.002
+BATCH_WINDOW_S = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     #: Speed of the holder, in cores.
     cores: float = 1.0
     #: Seconds between the holder's renewals, the longest of late.
-    interval: float = RENEWAL_INTERVAL
+    interval: float = RENEWAL_INTERVAL_S
     #: Workers that the holder attends to.
     workers: int = 0
     #: Cores that continuous jobs may take together; None if not known yet.
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class HeldLease:
     """The lease as it was taken, and the versions of the rows behind it."""
 
     lease: Lease
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class PendingCallback:
     """A callback, and how many of the jobs that wait longest it waits for."""
 
     callback: cabc.Callable[[], None]
@@ -93,7 +93,7 @@
     def __init__(
         self,
         rows: table.Table,
-        held: Held,
+        held: HeldLease,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
@@ -102,15 +102,15 @@
         self.clock = clock
         self.counters = counters
         #: Return what the lease's row tells all instances.
-        self.pending: cabc.Callable[[], dict[str, int]] = dict
-        self.workers: cabc.Callable[[], int] = lambda: 0
+        self.pending_counts: cabc.Callable[[], dict[str, int]] = dict
+        self.worker_count: cabc.Callable[[], int] = lambda: 0
         self.continuous_bound: cabc.Callable[[], float | None] = lambda: None
         #: Returns rows that are kept now and again, with a renewal of the lease.
-        self.now_and_again: cabc.Callable[[], tuple[table.Write, ...]] = tuple
+        self.periodic_writes: cabc.Callable[[], tuple[table.Write, ...]] = tuple
         #: Jobs to write, the one that has waited longest first.
-        self.changed: dict[str, progress.JobProgress] = {}
-        self.waiting: list[Waiting] = []
-        self.wanted = gevent.event.Event()
+        self.unwritten_jobs: dict[str, progress.JobProgress] = {}
+        self.pending_callbacks: list[PendingCallback] = []
+        self.write_requested = gevent.event.Event()
         self.links = 0
         self.renew_at = 0.0
         #: Elapsed time of the latest renewal, or of the claim.
@@ -128,21 +128,23 @@
 
     def record(self, job: progress.JobProgress) -> None:
         """Write the job's progress with the next transaction."""
-        self.changed[job.job.job_id] = job
-        self.wanted.set()
+        self.unwritten_jobs[job.job.job_id] = job
+        self.write_requested.set()
 
-    def then(self, callback: cabc.Callable[[], None]) -> None:
+    def when_durable(self, callback: cabc.Callable[[], None]) -> None:
         """Call back once all that was recorded so far is durable."""
-        self.waiting.append(Waiting(callback, len(self.changed)))
-        self.wanted.set()
+        self.pending_callbacks.append(
+            PendingCallback(callback, len(self.unwritten_jobs))
+        )
+        self.write_requested.set()
 
     def run(self) -> None:
         """Write until another instance leads, or the lease is given up."""
         while not self.deposed:
             due = self.renew_at - self.clock.elapsed()
-            if not self.wanted.wait(max(due, 0.0)) and due > 0:
+            if not self.write_requested.wait(max(due, 0.0)) and due > 0:
                 continue
-            gevent.sleep(GATHER_TERM)
+            gevent.sleep(BATCH_WINDOW_S)
             try:
                 self.write()
             except errors.DeposedError:
@@ -150,8 +152,8 @@
 
     def write(self) -> None:
         """Write what waits in one transaction, however often it must be sent."""
-        self.wanted.clear()
-        transaction, jobs = self._next()
+        self.write_requested.clear()
+        transaction, jobs = self._next_transaction()
         callbacks = self._due(jobs)
         version = self._commit(transaction)
         held = self.held
@@ -161,25 +163,25 @@
             chain_version=version,
             lease_version=version if wrote_lease else held.lease_version,
         )
-        if self.releasing and wrote_lease and not self.changed:
+        if self.releasing and wrote_lease and not self.unwritten_jobs:
             log.info("lease given up", token=self.token)
             self.deposed = True
             raise errors.DeposedError
-        if self.changed:
-            self.wanted.set()
+        if self.unwritten_jobs:
+            self.write_requested.set()
         for callback in callbacks:
             callback()
 
-    def give_up(self) -> None:
+    def release(self) -> None:
         """Give the lease up with the next transaction, so that another may take it.
 
         What was recorded goes with it. Without this the next leader would wait
         until the lease is old.
         """
         self.releasing = True
-        self.wanted.set()
+        self.write_requested.set()
 
-    def _take(self, most: int) -> list[table.Write]:
+    def _take_job_writes(self, max_bytes: int) -> list[table.Write]:
         """Return the writes of the jobs that wait longest, of `most` bytes together.
 
         One that takes more goes alone. When only rows were counted, a transaction took
@@ -187,13 +189,13 @@
         that had changed was kept, and the lease ran out. What is left goes next.
         """
         writes: list[table.Write] = []
-        for job in list(self.changed.values())[:MOST_ROWS]:
+        for job in list(self.unwritten_jobs.values())[:MAX_TRANSACTION_ROWS]:
             write = write_of(job)
-            most -= size_of(write)
-            if writes and most < 0:
+            max_bytes -= size_of(write)
+            if writes and max_bytes < 0:
                 break
             writes.append(write)
-            del self.changed[job.job.job_id]
+            del self.unwritten_jobs[job.job.job_id]
         return writes
 
     def _due(self, written: int) -> list[cabc.Callable[[], None]]:
@@ -203,24 +205,24 @@
         recorded before: when callbacks waited until no change was left, starts
         came 3 s late where changes never ceased.
         """
-        due = [each.callback for each in self.waiting if each.jobs <= written]
-        self.waiting = [
-            Waiting(each.callback, each.jobs - written)
-            for each in self.waiting
+        due = [each.callback for each in self.pending_callbacks if each.jobs <= written]
+        self.pending_callbacks = [
+            PendingCallback(each.callback, each.jobs - written)
+            for each in self.pending_callbacks
             if each.jobs > written
         ]
         return due
 
-    def _next(self) -> tuple[table.Transaction, int]:
+    def _next_transaction(self) -> tuple[table.Transaction, int]:
         """Return the next transaction, and how many jobs it writes."""
         held = self.held
         self.links += 1
         writes = [table.Write(keys.CHAIN, self._link())]
         renews = self.clock.elapsed() >= self.renew_at or self.releasing
         if renews:
-            writes += self._renew()
-        jobs = self._take(MOST_BYTES - sum(map(size_of, writes)))
-        if renews and self.releasing and not self.changed:
+            writes += self._renewal_writes()
+        jobs = self._take_job_writes(MAX_TRANSACTION_BYTES - sum(map(size_of, writes)))
+        if renews and self.releasing and not self.unwritten_jobs:
             writes[-1] = self._write_lease(released=True)
         checks = (
             table.Check(keys.LEASE, held.lease_version),
@@ -228,18 +230,18 @@
         )
         return table.Transaction(checks, (*writes, *jobs)), len(jobs)
 
-    def _renew(self) -> list[table.Write]:
+    def _renewal_writes(self) -> list[table.Write]:
         """Return what a renewal of the lease writes, the lease last."""
         renewals = self.held.lease.renewals + 1
         now = self.clock.elapsed()
         passed, self.renewed_at = now - self.renewed_at, now
-        self.renew_at = now + RENEWAL_INTERVAL
-        extra = self.now_and_again() if renewals % EXTRA_RENEWALS == 0 else ()
+        self.renew_at = now + RENEWAL_INTERVAL_S
+        extra = self.periodic_writes() if renewals % EXTRA_RENEWALS == 0 else ()
         lease = self._write_lease(
             renewals=renewals,
             interval=self._interval(passed),
-            workers=self.workers(),
-            pending=self.pending(),
+            workers=self.worker_count(),
+            pending=self.pending_counts(),
             continuous_bound=self.continuous_bound(),
             released=False,
         )
@@ -248,7 +250,7 @@
     def _interval(self, passed: float) -> float:
         """Return the longest time between renewals of late, `passed` being the last."""
         kept = INTERVAL_KEPT * self.held.lease.interval
-        return round(max(passed, kept, RENEWAL_INTERVAL), 3)
+        return round(max(passed, kept, RENEWAL_INTERVAL_S), 3)
 
     def _write_lease(self, **facts: t.Any) -> table.Write:
         """Return the write of the lease, changed in these facts."""
@@ -260,12 +262,14 @@
         return codec.to_json(f"{self.token}.{self.links}")
 
     def _commit(self, transaction: table.Transaction) -> int:
-        attempts = commits.Attempts(self.rows, transaction, self._landed, self.clock)
+        attempts = commits.Attempts(
+            self.rows, transaction, self._committed_version, self.clock
+        )
         while True:
             if self.deposed:
                 raise errors.DeposedError
             sent_at = self.clock.elapsed()
-            done = attempts.once()
+            done = attempts.try_commit()
             self.counters.time("journal.commit", self.clock.elapsed() - sent_at)
             if isinstance(done, result.Ok):
                 self.confirmed_at = sent_at
@@ -277,11 +281,11 @@
                     return version
             reason = type(done.err_value).__name__.lower()
             self.counters.count(f"journal.retry.{reason}")
-            self.clock.sleep(RETRY_INTERVAL)
+            self.clock.sleep(RETRY_INTERVAL_S)
 
-    def _landed(self) -> int | None:
+    def _committed_version(self) -> int | None:
         """Return the version of our link if it is the chain's last, None if not."""
-        found = version_of(self.rows, self._link())
+        found = link_version(self.rows, self._link())
         if isinstance(found, result.Err) or found.ok_value is None:
             return None
         self.counters.count("journal.answer_recovered")
@@ -293,7 +297,7 @@
         Returns the version that our transaction got, or None if the rows can't be
         read now.
         """
-        found = version_of(self.rows, self._link())
+        found = link_version(self.rows, self._link())
         if isinstance(found, result.Err):
             return None
         if found.ok_value is not None:
@@ -306,7 +310,7 @@
 
 def write_of(job: progress.JobProgress) -> table.Write:
     """Return the write that keeps a job's progress."""
-    return table.Write(keys.state(job.job.job_id), progress.kept(job))
+    return table.Write(keys.state(job.job.job_id), progress.encode_job(job))
 
 
 def size_of(write: table.Write) -> int:
@@ -314,7 +318,9 @@
     return len((write.value or "").encode())
 
 
-def claim(rows: table.Table, lease: Lease, link: str, lease_version: int) -> int | None:
+def claim_lease(
+    rows: table.Table, lease: Lease, link: str, lease_version: int
+) -> int | None:
     """Write a new leader's rows over those that were read; None if that failed.
 
     Replacing the chain makes a transaction of the earlier leader that is still on
@@ -331,11 +337,11 @@
     done = rows.commit(transaction)
     if isinstance(done, result.Ok):
         return done.ok_value
-    found = version_of(rows, link)
+    found = link_version(rows, link)
     return found.ok_value if isinstance(found, result.Ok) else None
 
 
-def version_of(
+def link_version(
     rows: table.Table, link: str
 ) -> result.Result[int | None, store_errors.Unavailable]:
     """Return the version that `link` got, or None if another is the chain's last."""
--- a/src/mangosail/scheduler/keys.py
+++ b/src/mangosail/scheduler/keys.py
@@ -28,7 +28,7 @@
 #: Ends the key of a request to cancel the job that the key begins with.
 CANCEL_SUFFIX = "~"
 #: Text of the row of a job that is over.
-OVER = "null"
+ENDED_JOB_TEXT = "null"
 
 
 def job(job_id: str) -> str:
--- a/src/mangosail/scheduler/leadership.py
+++ b/src/mangosail/scheduler/leadership.py
@@ -25,7 +25,7 @@
 #: Seconds without a renewal after which a standby takes the lease: three renewals.
 #: A holder that is deposed too soon costs a takeover of about 0.1 s; a lost one
 #: costs all of this.
-TERM = 0.9
+LEASE_TIMEOUT_S = 0.9
 #: The same where the holder's own renewals were further apart of late, in multiples of
 #: that: it lives and has much to do, and its successor would have as much and more.
 MISSED_RENEWALS = 3.0
@@ -76,17 +76,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class ObservedLease:
     """The rows of the leadership as they were last read."""
 
     lease: journal.Lease | None
     lease_version: int
     #: Elapsed time at which the lease's row was first seen like this.
-    since: float
+    unchanged_since: float
     #: Elapsed time at which its holder was first seen to lead.
     led_since: float
     #: Elapsed time at which it was seen to take over from another; None if it was not.
-    taken_at: float | None = None
+    taken_over_at: float | None = None
 
 
 class Leadership:
@@ -94,7 +94,7 @@
 
     def __init__(
         self,
-        rows: ports.Rows,
+        rows: ports.WatchableTable,
         name: str,
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -107,7 +107,7 @@
         self.counters = counters
         self.rand = rand
         self.incarnation = f"{rand.getrandbits(64):016x}"
-        self.seen: Seen | None = None
+        self.observed: ObservedLease | None = None
         #: Speed of this instance, in cores.
         self.cores = cores
         self.speed = speed.SpeedProbe(clock)
@@ -115,32 +115,32 @@
         #: Seconds that the latest reading took.
         self.read_term = 0.0
         #: Elapsed time until which the lease is left to others.
-        self.shun_until = 0.0
-        self.interval = rand.uniform(LEAST_WATCH_INTERVAL, MOST_WATCH_INTERVAL)
+        self.back_off_until = 0.0
+        self.check_interval = rand.uniform(LEAST_WATCH_INTERVAL, MOST_WATCH_INTERVAL)
 
-    def watch(self) -> journal.Held | None:
+    def check(self) -> journal.HeldLease | None:
         """Look at the lease once; return it if it was taken."""
         sent_at = self.clock.elapsed()
-        if not self._read(sent_at) or self.seen is None:
+        if not self._read(sent_at) or self.observed is None:
             return None
         self.speed.measure()
-        if not self._free(sent_at) and not self._faster(sent_at):
+        if not self._may_claim(sent_at) and not self._faster(sent_at):
             return None
         return self._claim()
 
-    def pause(self) -> float:
+    def next_check_delay(self) -> float:
         """Return the seconds until the next look; short while a claim is due."""
-        seen = self.seen
+        seen = self.observed
         if seen is None:
-            return self.interval
+            return self.check_interval
         if seen.lease is None or seen.lease.released:
             return CLAIM_INTERVAL
-        overdue = self.clock.elapsed() - seen.since >= OVERDUE_TERM
+        overdue = self.clock.elapsed() - seen.unchanged_since >= OVERDUE_TERM
         if not overdue and seen.lease.cores >= FASTER_FACTOR * self.cores:
-            return self.interval * BEHIND_FACTOR
-        return self.interval
+            return self.check_interval * BEHIND_FACTOR
+        return self.check_interval
 
-    def keep(self, give_up: cabc.Callable[[], None]) -> None:
+    def release_when_slow(self, release: cabc.Callable[[], None]) -> None:
         """Give the lease up once this instance has turned slow; while it leads.
 
         One that was slow already when it took the lease keeps it: it was the only
@@ -157,11 +157,11 @@
         log.warning("turned slow", best=self.speed.best, recent=[*self.speed.recent])
         self.counters.count("leadership.turned_slow")
         self.shun()
-        give_up()
+        release()
 
     def shun(self) -> None:
         """Leave the lease to others for a while."""
-        self.shun_until = self.clock.elapsed() + SHUN_TERM
+        self.back_off_until = self.clock.elapsed() + SHUN_TERM
 
     def _read(self, sent_at: float) -> bool:
         # This row alone: what was learned stands beside it, and is much longer.
@@ -169,59 +169,66 @@
         if isinstance(found, result.Err):
             self.counters.count("leadership.read_failed")
             # What went unseen meanwhile may have been renewals.
-            self.seen = None
+            self.observed = None
             return False
         lease_row = found.ok_value.get(keys.LEASE)
         lease_version = lease_row.version if lease_row else 0
         lease = codec.from_json(lease_row.value, journal.Lease) if lease_row else None
-        same = self.seen is not None and self.seen.lease_version == lease_version
+        same = (
+            self.observed is not None and self.observed.lease_version == lease_version
+        )
         now = self.clock.elapsed()
         self.read_term = now - sent_at
-        since = self.seen.since if same and self.seen else now
+        since = self.observed.unchanged_since if same and self.observed else now
         led_since, taken_at = now, None
-        if self.seen and self.seen.lease and lease:
-            if self.seen.lease.token == lease.token:
-                led_since, taken_at = self.seen.led_since, self.seen.taken_at
+        if self.observed and self.observed.lease and lease:
+            if self.observed.lease.token == lease.token:
+                led_since, taken_at = (
+                    self.observed.led_since,
+                    self.observed.taken_over_at,
+                )
             else:
                 taken_at = now
-        self.seen = Seen(lease, lease_version, since, led_since, taken_at)
+        self.observed = ObservedLease(lease, lease_version, since, led_since, taken_at)
         return True
 
-    def _free(self, now: float) -> bool:
-        seen = self.seen
+    def _may_claim(self, now: float) -> bool:
+        seen = self.observed
         if seen is None:
             return False
         handicap = self._handicap(seen.lease, now)
         if seen.lease is None or seen.lease.released:
-            return now - seen.since >= handicap
+            return now - seen.unchanged_since >= handicap
         if seen.lease.holder == self.name:
             # An earlier run of this very instance: it has ended.
             return True
-        fresh = seen.taken_at is not None and now < seen.taken_at + TAKEOVER_SPAN
-        term = term_of(seen.lease, fresh)
+        fresh = (
+            seen.taken_over_at is not None and now < seen.taken_over_at + TAKEOVER_SPAN
+        )
+        term = lease_timeout(seen.lease, fresh)
         term += READ_FACTOR * self.read_term + self.stagger + handicap
-        return now - seen.since >= term
+        return now - seen.unchanged_since >= term
 
     def _handicap(self, lease: journal.Lease | None, now: float) -> float:
         """Return the seconds for which faster instances may take the lease first."""
         fastest = lease.cores if lease else 1.0
         behind = max(fastest - self.cores, 0.0) / max(fastest, self.cores)
         handicap = HANDICAP * behind
-        if self.speed.slow or now < self.shun_until:
+        if self.speed.slow or now < self.back_off_until:
             handicap += SLOW_HANDICAP
         return handicap
 
     def _faster(self, now: float) -> bool:
         """Tell whether this instance should lead in place of a live holder."""
-        seen = self.seen
+        seen = self.observed
         if seen is None or seen.lease is None or now - seen.led_since < SETTLED_TERM:
             return False
-        if self.speed.slow or now < self.shun_until:
+        if self.speed.slow or now < self.back_off_until:
             return False
         return self.cores >= FASTER_FACTOR * seen.lease.cores
 
-    def _claim(self) -> journal.Held | None:
-        seen = self.seen
+    def _claim(self) -> journal.HeldLease | None:
+        seen = self.observed
         if seen is None:
             return None
         token = seen.lease.token + 1 if seen.lease else 1
@@ -230,7 +237,7 @@
             self.incarnation,
             token,
             cores=self.cores,
-            interval=seen.lease.interval if seen.lease else journal.RENEWAL_INTERVAL,
+            interval=seen.lease.interval if seen.lease else journal.RENEWAL_INTERVAL_S,
             workers=seen.lease.workers if seen.lease else 0,
             # What all instances go by stays in force until this one knows better.
             # Without the bound, all continuous work was let in between two leaders.
@@ -238,19 +245,19 @@
             pending=seen.lease.pending if seen.lease else {},
         )
         link = codec.to_json(f"{token}.0.{self.incarnation}")
-        version = journal.claim(self.rows, lease, link, seen.lease_version)
-        self.seen = None
+        version = journal.claim_lease(self.rows, lease, link, seen.lease_version)
+        self.observed = None
         if version is None:
             self.counters.count("leadership.claim_lost")
             return None
         previous = seen.lease.holder if seen.lease else ""
-        age = round(self.clock.elapsed() - seen.since, 3)
+        age = round(self.clock.elapsed() - seen.unchanged_since, 3)
         log.info("lease won", token=token, previous=previous, unchanged=age)
         self.counters.count("leadership.claimed")
-        return journal.Held(lease, version, version)
+        return journal.HeldLease(lease, version, version)
 
 
-def term_of(lease: journal.Lease, fresh: bool) -> float:
+def lease_timeout(lease: journal.Lease, after_takeover: bool) -> float:
     """Return the seconds without a renewal after which a holder counts as lost.
 
     `fresh` tells that it has just taken over. Leaders of large fleets were deposed for
@@ -260,7 +267,7 @@
         >>> term_of(lease, fresh=False), term_of(lease, fresh=True)
         (0.9, 2.0)
     """
-    term = max(TERM, MISSED_RENEWALS * lease.interval)
-    if fresh:
-        term = max(term, TERM + TAKEOVER_TERM * lease.workers / lease.cores)
+    term = max(LEASE_TIMEOUT_S, MISSED_RENEWALS * lease.interval)
+    if after_takeover:
+        term = max(term, LEASE_TIMEOUT_S + TAKEOVER_TERM * lease.workers / lease.cores)
     return min(term, LONGEST_TERM)
--- a/src/mangosail/scheduler/listing.py
+++ b/src/mangosail/scheduler/listing.py
@@ -206,12 +206,14 @@
             return
         if entry.draining and not worker.entry.draining:
             log.info("worker drains", worker=entry.name, remaining=entry.remaining)
-        if entry.born in worker.earlier:
+        if entry.incarnation in worker.earlier_incarnations:
             self.counters.count("listing.earlier_life")
             return
-        if worker.known and not fleet.same_life(entry.born, worker.born):
+        if worker.contacted and not fleet.same_incarnation(
+            entry.incarnation, worker.incarnation
+        ):
             # Which of the two is the later one only the worker itself can tell.
-            worker.other = entry
+            worker.conflicting_entry = entry
             worker.unlisted = False
             self.manager.check_incarnation(worker, entry)
             return
@@ -221,9 +223,9 @@
                 "capacity", worker=entry.name, cpus=entry.capacity.cpus,
                 before=worker.entry.capacity.cpus, free=round(worker.free.cpus, 1),
             )  # fmt: skip
-        worker.describe(entry)
-        if not worker.known or worker.born is None:
-            worker.born = entry.born
+        worker.update_entry(entry)
+        if not worker.contacted or worker.incarnation is None:
+            worker.incarnation = entry.incarnation
         worker.unlisted = False
         if first:
             self.manager.start_polling(worker)
--- a/src/mangosail/scheduler/messages.py
+++ b/src/mangosail/scheduler/messages.py
@@ -65,13 +65,13 @@
     interval: float = 0.0
 
     @property
-    def timed(self) -> bool:
+    def scheduled(self) -> bool:
         """Tell whether the occurrences have due times."""
         return self.first_due > 0
 
     def due(self, occurrence: int) -> float:
         """Return the wall time before which an occurrence must not start."""
-        if not self.timed:
+        if not self.scheduled:
             return self.accepted_at
         return self.first_due + occurrence * self.interval
 
@@ -105,20 +105,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Running:
+class RunningTask:
     """A run that a worker lists."""
 
     task: str
     run: int
     checkpoint: str
-    percent: int
+    progress_percent: int
     #: For a latency-critical task the tail of its response times in milliseconds, for
     #: another one the thousandths of a core that it used in the last half second.
-    figure: float = 0.0
+    measurement: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class RunEnd:
     """The end of a run; `number` counts the ends of one life of the worker."""
 
     number: int
@@ -129,14 +129,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Look:
+class WorkerReport:
     """What a worker says about itself; `clock` is its own, in milliseconds."""
 
     clock: int
-    running: tuple[Running, ...]
-    ended: tuple[End, ...]
+    running: tuple[RunningTask, ...]
+    ended: tuple[RunEnd, ...]
     #: Which life of the worker answers, as in its entry; None if it doesn't say.
-    born: int | None = None
+    incarnation: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -168,7 +168,7 @@
     remaining: float | None = None
     #: Unix milliseconds at which this life of the worker began. A later life may have a
     #: lower number, as clocks jump. None if it doesn't say: its name tells its life.
-    born: int | None = None
+    incarnation: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -188,7 +188,7 @@
     stretch: float = 1.0
     target: float = 0.0
     #: True if only workers that the advice service names may run its tasks.
-    advised: bool = False
+    needs_advice: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -197,7 +197,7 @@
 
     name: str
     #: True if its workers refuse what does not fit.
-    guarded: bool = True
+    checks_admission: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -206,9 +206,9 @@
 
     body_bytes: int = 262144
     #: Seconds in which a request's headers must have come.
-    headers_term: float = 3.0
+    headers_timeout: float = 3.0
     #: Seconds that a connection may idle between requests.
-    idle_term: float = 15.0
+    idle_timeout: float = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/mangosail/scheduler/orders.py
+++ b/src/mangosail/scheduler/orders.py
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        client: ports.Workers,
+        client: ports.WorkerClient,
         token: int,
         workers: fleet.Fleet,
         changed: gevent.event.Event,
@@ -70,20 +70,20 @@
         """Start the task's present run, whose record is durable."""
         if task.phase is not progress.Phase.STARTING or task.worker != worker.name:
             return
-        if worker.gone or not is_wanted(task):
+        if worker.removed or not is_wanted(task):
             self._mark_not_started(
                 task, self._current_incarnation(worker), "not_wanted"
             )
             return
-        if worker.overfull:
+        if worker.overcommitted:
             # Its capacity has shrunk while the record was written.
             self._mark_not_started(task, worker, "no_room")
             return
         now = self.clock.elapsed()
-        heard_at = worker.heard_at
+        heard_at = worker.last_contact_at
         run = task.run
         deadline = int(worker.clock_at(now) + START_TIMEOUT_S * 1000)
-        worker.deadline = max(worker.deadline, deadline)
+        worker.lease_deadline = max(worker.lease_deadline, deadline)
         order = messages.StartOrder(
             task.name,
             run,
@@ -93,7 +93,7 @@
             self.token,
             task.step_run.tickets.get(worker.name, ""),
         )
-        task.ordered_at = now
+        task.start_sent_at = now
         gevent.spawn_later(ANSWER_TIMEOUT_S, self.resolve_late_start, task, worker, run)
         answer = self.client.start(worker.entry, order)
         self.counters.time("orders.start", self.clock.elapsed() - now)
@@ -102,19 +102,19 @@
             # A look has shown the run, or its end, or it was stopped as late.
             return
         if isinstance(answer, result.Ok):
-            if now >= worker.since and answer.ok_value >= worker.clock:
-                worker.heard(answer.ok_value, self.clock.elapsed())
+            if now >= worker.discovered_at and answer.ok_value >= worker.clock:
+                worker.record_contact(answer.ok_value, self.clock.elapsed())
             task.phase = progress.Phase.RUNNING
-            task.began = True
-            task.job.begun = True
-            task.started_at = task.moved_at = self.clock.elapsed()
-            task.percent = 0
+            task.start_confirmed = True
+            task.job.started = True
+            task.started_at = task.progressed_at = self.clock.elapsed()
+            task.progress_percent = 0
             task.speed_limit = 100
             log.info(
                 "started", task=task.name, run=run, worker=worker.name,
-                free=round(worker.free.cpus, 1), unused=round(worker.unused, 1),
-                latency_critical=worker.latency_critical,
-                best_effort=worker.best_effort,
+                free=round(worker.free.cpus, 1), unused=round(worker.idle_cpus, 1),
+                latency_critical=worker.latency_critical_count,
+                best_effort=worker.best_effort_count,
                 heard=round(now - heard_at, 3),
             )  # fmt: skip
             return
@@ -213,11 +213,11 @@
         """Set a run aside in a worker's later life, where its start may yet arrive."""
         worker.release(task)
         successor.reserve(task)
-        unsent = task.phase is progress.Phase.STARTING and task.ordered_at is None
-        if not task.began and not unsent:
-            successor.strays_until = self.clock.elapsed() + MAX_ORDER_DELAY_S
+        unsent = task.phase is progress.Phase.STARTING and task.start_sent_at is None
+        if not task.start_confirmed and not unsent:
+            successor.stray_orders_until = self.clock.elapsed() + MAX_ORDER_DELAY_S
         if task.phase is progress.Phase.STOPPING:
-            task.barred_at = None
+            task.stop_confirmed_at = None
             gevent.spawn(self._stop, task, successor, task.run, False)
 
     def stop(self, task: progress.Task, worker: fleet.Worker, why: str) -> None:
@@ -228,7 +228,7 @@
             return
         surely_there = task.phase is progress.Phase.RUNNING
         task.phase = progress.Phase.STOPPING
-        task.barred_at = None
+        task.stop_confirmed_at = None
         self.counters.count(f"orders.stop.{why}")
         log.info(
             "stopping", task=task.name, run=task.run, worker=worker.name, reason=why
@@ -242,7 +242,7 @@
             if other is not task and holder is not None and other.run == task.run:
                 self.stop(other, holder, "gang")
 
-    def stop_unknown(self, worker: fleet.Worker, row: messages.Running) -> None:
+    def stop_unknown(self, worker: fleet.Worker, row: messages.RunningTask) -> None:
         """Stop a run that nobody wants, in the background."""
         self.counters.count("orders.stop.unknown")
         log.info(
@@ -254,13 +254,13 @@
         self, task: progress.Task, worker: fleet.Worker, run: int, known_running: bool
     ) -> None:
         while task.phase is progress.Phase.STOPPING and task.run == run:
-            if worker.gone:
+            if worker.removed:
                 return
             if not worker.entry.address:
                 self.clock.sleep(STOP_RETRY_INTERVAL_S)
                 continue
             answer = self.client.stop(worker.entry, task.name, run, self.token)
-            if worker.gone:
+            if worker.removed:
                 # Which life has answered is not known; the later one is told too.
                 return
             if isinstance(answer, result.Ok):
@@ -284,7 +284,7 @@
 
         One that is surely there ends later, and its end is listed.
         """
-        task.barred_at = self.clock.elapsed()
+        task.stop_confirmed_at = self.clock.elapsed()
         if not known_running:
             self.poll_now(worker)
 
@@ -308,4 +308,4 @@
 
 def is_wanted(task: progress.Task) -> bool:
     """Tell whether the task should run at all."""
-    return not task.job.over and not task.job.cancelled
+    return not task.job.ended and not task.job.cancelled
--- a/src/mangosail/scheduler/placing.py
+++ b/src/mangosail/scheduler/placing.py
@@ -59,19 +59,21 @@
     ) -> list[Placement]:
         """Choose workers for as many of the tasks as fit, and reserve their room."""
         step = step_run.step
-        seen = next(self.workers.changes)
+        seen = next(self.workers.change_numbers)
         candidates = self._candidates(step, service, now)
         if step.gang:
             return self._place_gang(step_run, tasks, candidates, now)
         whole = needs_full_search(step_run, now)
         if not whole:
             # The others had no room for it before, and nothing there has changed.
-            candidates = [c for c in candidates if c.changed > step_run.searched]
+            candidates = [
+                c for c in candidates if c.last_change > step_run.searched_change
+            ]
         chosen = self._place_tasks(step_run, tasks, candidates, now)
         if len(chosen) < len(tasks):
-            step_run.searched = seen
+            step_run.searched_change = seen
             if whole:
-                step_run.search_all_at = now + FULL_SEARCH_INTERVAL_S
+                step_run.full_search_at = now + FULL_SEARCH_INTERVAL_S
         return chosen
 
     def has_room(self, step_run: progress.StepRun, service: str, now: float) -> bool:
@@ -97,8 +99,11 @@
             worker
             for worker in self.workers
             if is_eligible(step_run.step, worker, service, now)
-            and fleet.reserved(step_run.step).fits_in(worker.free)
-            and (step_run.only is None or worker.name in step_run.only)
+            and fleet.reserved_resources(step_run.step).fits_in(worker.free)
+            and (
+                step_run.allowed_workers is None
+                or worker.name in step_run.allowed_workers
+            )
         ]
         if not able:
             return []
@@ -115,7 +120,7 @@
         alone decided, such jobs all went to one of them, 30 tasks to 64 cores.
         """
         room = self.model.headroom(step, worker)
-        return not interference.has_high_latency(worker), room, worker.unused
+        return not interference.has_high_latency(worker), room, worker.idle_cpus
 
     def _candidates(
         self, step: messages.Step, service: str, now: float
@@ -156,19 +161,19 @@
             if task.suspect:
                 best = safest_worker(ranked.scores, now)
             else:
-                best = ranked.best(task.avoid)
+                best = ranked.best(task.avoided_worker)
             if best is None:
                 break
             if defers_suspect(task, best, now):
                 # Until then nothing begins there, so that it can begin alone.
                 ranked.rank(best, None)
-                best.avoid_until = task.not_before = now + fleet.ALONE_TERM
+                best.avoid_until = task.not_before = now + fleet.ISOLATED_START_S
                 continue
             best.reserve(task)
             chosen.append(Placement(task, best))
             ranked.rank(best, self._score(step_run, best))
             if task.suspect and not task.step.gang:
-                best.alone = task
+                best.isolated_suspect = task
                 ranked.rank(best, None)
         return chosen
 
@@ -177,13 +182,16 @@
         step = step_run.step
         if not fits(step, worker):
             return None
-        if step_run.only is not None and worker.name not in step_run.only:
+        if (
+            step_run.allowed_workers is not None
+            and worker.name not in step_run.allowed_workers
+        ):
             return None
         most = step.most_per_worker
-        if most and worker.same_step(step_run) >= most:
+        if most and worker.count_of_step(step_run) >= most:
             return None
         score = score_of(step, worker)
-        if step.best_effort and worker.latency_critical:
+        if step.best_effort and worker.latency_critical_count:
             if interference.has_high_latency(worker):
                 # What is stopped there counts as no pressure. To the model there was
                 # room again after each stop, and a new one kept the latency high.
@@ -218,9 +226,9 @@
 
 def needs_full_search(step_run: progress.StepRun, now: float) -> bool:
     """Tell whether all workers are looked at for a step, or those that changed."""
-    if not step_run.step.best_effort or step_run.only is not None:
+    if not step_run.step.best_effort or step_run.allowed_workers is not None:
         return True
-    return now >= step_run.search_all_at
+    return now >= step_run.full_search_at
 
 
 def safest_worker(
@@ -233,14 +241,14 @@
     able = {worker: score for worker, score in scores.items() if score is not None}
 
     def order(worker: fleet.Worker) -> tuple[bool, int, float]:
-        return not worker.quiet(now), len(worker.tasks), -able[worker]
+        return not worker.no_recent_start(now), len(worker.tasks), -able[worker]
 
     return min(able, key=order, default=None)
 
 
 def defers_suspect(task: progress.Task, worker: fleet.Worker, now: float) -> bool:
     """Tell whether a suspect waits until nothing has just begun on a worker."""
-    if not task.suspect or task.step.gang or worker.quiet(now):
+    if not task.suspect or task.step.gang or worker.no_recent_start(now):
         return False
     since = task.step_run.blocked_since
     return since is None or now < since + ISOLATION_TIMEOUT_S
@@ -257,10 +265,10 @@
 
 def fits(step: messages.Step, worker: fleet.Worker) -> bool:
     """Tell whether a task of the step fits into what the worker has free."""
-    if not fleet.reserved(step).fits_in(worker.free):
+    if not fleet.reserved_resources(step).fits_in(worker.free):
         return False
     if step.best_effort:
-        return worker.unused >= step.need.cpus * MIN_IDLE_CPU_SHARE
+        return worker.idle_cpus >= step.need.cpus * MIN_IDLE_CPU_SHARE
     return True
 
 
@@ -269,14 +277,14 @@
     near = DATA_LOCALITY_WEIGHT * bool(
         step.data_rack and step.data_rack in worker.entry.labels
     )
-    critical = bool(worker.latency_critical)
+    critical = bool(worker.latency_critical_count)
     if step.best_effort:
-        return near + worker.unused - COLOCATION_WEIGHT * critical
+        return near + worker.idle_cpus - COLOCATION_WEIGHT * critical
     if step.continuous:
         # The fullest of those that have such tasks already, so that few workers do.
-        disturbed = BEST_EFFORT_PENALTY * worker.best_effort
+        disturbed = BEST_EFFORT_PENALTY * worker.best_effort_count
         return near + COLOCATION_WEIGHT * critical - worker.free.cpus - disturbed
-    return near + worker.unused + LATENCY_CRITICAL_WEIGHT * critical
+    return near + worker.idle_cpus + LATENCY_CRITICAL_WEIGHT * critical
 
 
 def by_rack(workers: list[fleet.Worker]) -> list[list[fleet.Worker]]:
--- a/src/mangosail/scheduler/planning.py
+++ b/src/mangosail/scheduler/planning.py
@@ -128,7 +128,7 @@
         for number, step in enumerate(job.job.steps):
             each = job.steps[occurrence, number]
             seconds = self.estimator.estimate(each)
-            unfinished = step.count - each.done
+            unfinished = step.count - each.done_count
             left += unfinished * seconds * step.need.cpus
             share = 0.0
             if unfinished:
@@ -150,7 +150,7 @@
         room = 0.0
         taken: dict[int, float] = {}
         for worker in self.workers:
-            room += USABLE_CORES_SHARE * max(worker.unused, 0.0)
+            room += USABLE_CORES_SHARE * max(worker.idle_cpus, 0.0)
             for task in worker.tasks.values():
                 if not task.step.continuous:
                     priority = task.job.job.priority
--- a/src/mangosail/scheduler/ports.py
+++ b/src/mangosail/scheduler/ports.py
@@ -11,7 +11,7 @@
 from mangosail.scheduler import errors, messages
 
 
-class Workers(t.Protocol):
+class WorkerClient(t.Protocol):
     """Carries orders to workers; one call is one request."""
 
     def start(
@@ -34,15 +34,15 @@
     ) -> result.Result[int, errors.OrderError]:
         """Let a run work at `percent` of its speed; return the worker's clock."""
 
-    def look(
+    def poll(
         self,
         worker: messages.WorkerEntry,
         token: int,
         acknowledged: int,
         deadline: int | None,
         wait: float,
-        aside: bool = False,
-    ) -> result.Result[messages.Look, errors.OrderError]:
+        out_of_band: bool = False,
+    ) -> result.Result[messages.WorkerReport, errors.OrderError]:
         """Extend the lease to `deadline` and return what runs and what ended.
 
         Ends up to `acknowledged` are forgotten by the worker. The answer waits for
@@ -71,18 +71,18 @@
 
 
 #: Called whenever a part of an answer has come, while the rest is on its way.
-Heard = cabc.Callable[[], None]
+OnData = cabc.Callable[[], None]
 
 
-def unheeded() -> None:
+def ignore_data() -> None:
     """Heed no part of an answer but the whole."""
 
 
-class Rows(table.Table, t.Protocol):
+class WatchableTable(table.Table, t.Protocol):
     """A table whose changes can be followed."""
 
     def read_all(
-        self, prefix: str, heard: Heard = unheeded
+        self, prefix: str, on_data: OnData = ignore_data
     ) -> result.Result[Changes, store_errors.Unavailable]:
         """Return every row under `prefix` and a version to follow changes from."""
 
@@ -91,8 +91,8 @@
         prefix: str,
         after: int,
         wait: float,
-        heard: Heard = unheeded,
-        most: int | None = None,
+        on_data: OnData = ignore_data,
+        max_bytes: int | None = None,
     ) -> result.Result[Changes, store_errors.Unavailable | HistoryLost | TooLong]:
         """Return what changed under `prefix` after a version, waiting for a change.
 
--- a/src/mangosail/scheduler/preemption.py
+++ b/src/mangosail/scheduler/preemption.py
@@ -55,7 +55,7 @@
             if victim is None:
                 break
             found.append(Victim(victim, worker))
-            free += fleet.reserved(victim.step)
+            free += fleet.reserved_resources(victim.step)
     return found
 
 
@@ -64,7 +64,7 @@
     total = resources.Resources()
     for task in worker.tasks.values():
         if task.phase is progress.Phase.STOPPING:
-            total += fleet.reserved(task.step)
+            total += fleet.reserved_resources(task.step)
     return total
 
 
@@ -82,7 +82,7 @@
         if task.phase is progress.Phase.RUNNING
         and task.name not in taken
         and is_preemptible(task, step_run)
-        and step_run.step.need.fits_in(free + fleet.reserved(task.step))
+        and step_run.step.need.fits_in(free + fleet.reserved_resources(task.step))
     ]
     return min(able, key=lambda task: task.step.need.cpus, default=None)
 
--- a/src/mangosail/scheduler/progress.py
+++ b/src/mangosail/scheduler/progress.py
@@ -66,7 +66,7 @@
     step: int
     index: int
     crashes: int
-    clear_crashes: int
+    certain_crashes: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -91,34 +91,34 @@
     """A task of a job; at most one run of it exists at a time."""
 
     __slots__ = (
-        "avoid",
-        "barred_at",
-        "began",
+        "avoided_worker",
+        "stop_confirmed_at",
+        "start_confirmed",
         "checkpoint",
-        "clear_crashes",
+        "certain_crashes",
         "crashes",
         "failures",
-        "high_since",
+        "latency_high_since",
         "index",
         "job",
         "listed",
-        "moved_at",
-        "moves",
+        "progressed_at",
+        "relocations",
         "name",
         "not_before",
-        "ordered_at",
-        "percent",
+        "start_sent_at",
+        "progress_percent",
         "phase",
         "run",
-        "seen_at",
-        "seen_percent",
-        "seen_run",
+        "sample_at",
+        "sample_percent",
+        "sample_run",
         "speed_limit",
         "started_at",
         "step_run",
         "suspect",
         "throttled_at",
-        "whole",
+        "from_beginning",
         "worker",
     )
 
@@ -135,31 +135,31 @@
         self.failures = 0
         #: Workers that may have crashed under it, and those that clearly did.
         self.crashes = 0
-        self.clear_crashes = 0
+        self.certain_crashes = 0
         #: True while it may have crashed a worker right after its start.
         self.suspect = False
         #: Name of the worker that may run it; empty if none does.
         self.worker = ""
         self.checkpoint = ""
         #: Progress of the present run as last listed, and since when it stands.
-        self.percent = 0
-        self.moved_at = 0.0
+        self.progress_percent = 0
+        self.progressed_at = 0.0
         self.started_at = 0.0
         #: Elapsed time at which this leader sent the present run's start; None if it
         #: has not.
-        self.ordered_at: float | None = None
+        self.start_sent_at: float | None = None
         #: True once its worker has answered the present run's start, or listed the run.
-        self.began = False
+        self.start_confirmed = False
         #: True once a look at the present life of its worker has listed the run.
         self.listed = False
         #: True if the present run began without a checkpoint.
-        self.whole = False
+        self.from_beginning = False
         #: Elapsed time, progress and run at the look from which speed is judged.
-        self.seen_at = 0.0
-        self.seen_percent = 0
-        self.seen_run = 0
+        self.sample_at = 0.0
+        self.sample_percent = 0
+        self.sample_run = 0
         #: How often it was moved for standing still.
-        self.moves = 0
+        self.relocations = 0
         #: Share of its speed in percent that the run was last allowed.
         self.speed_limit = 100
         #: Elapsed time at which its speed was last changed.
@@ -167,11 +167,11 @@
         #: Elapsed time before which no further run starts.
         self.not_before = 0.0
         #: Elapsed time since when the tail of a latency-critical task is too high.
-        self.high_since: float | None = None
+        self.latency_high_since: float | None = None
         #: Elapsed time at which the worker answered the run's stop, if it has.
-        self.barred_at: float | None = None
+        self.stop_confirmed_at: float | None = None
         #: Worker on which a run failed; another one is tried next.
-        self.avoid = ""
+        self.avoided_worker = ""
 
     @property
     def step(self) -> messages.Step:
@@ -184,7 +184,7 @@
         return self.phase in LIVE
 
     @property
-    def begun(self) -> bool:
+    def has_record(self) -> bool:
         """Tell whether it is neither as new nor done, and so has a row."""
         if self.phase is Phase.DONE:
             return False
@@ -195,26 +195,26 @@
     """The tasks of a step in one occurrence of its job."""
 
     __slots__ = (
-        "advised",
-        "ask_at",
-        "asking",
+        "approved_workers",
+        "next_advice_at",
+        "advice_pending",
         "blocked_since",
-        "done",
+        "done_count",
         "job",
-        "measured",
-        "measurements",
+        "measured_seconds",
+        "measured_runs",
         "number",
         "occurrence",
-        "only",
+        "allowed_workers",
         "rate_samples",
-        "rates",
-        "refused",
-        "search_all_at",
-        "searched",
+        "log_rate_sum",
+        "refused_workers",
+        "full_search_at",
+        "searched_change",
         "step",
         "tasks",
         "tickets",
-        "tickets_until",
+        "tickets_valid_until",
     )
 
     def __init__(self, job: "JobProgress", occurrence: int, number: int) -> None:
@@ -224,30 +224,30 @@
         self.step = job.job.steps[number]
         self.tasks = [Task(self, index) for index in range(self.step.count)]
         #: How many of the tasks are done.
-        self.done = 0
+        self.done_count = 0
         #: Seconds that whole runs of its tasks took together, and their count.
-        self.measured = 0.0
-        self.measurements = 0
+        self.measured_seconds = 0.0
+        self.measured_runs = 0
         #: Sum of the logarithms of its tasks' progress in a second, and their count.
-        self.rates = 0.0
+        self.log_rate_sum = 0.0
         self.rate_samples = 0
         #: Elapsed time since when some of the tasks have found no room.
         self.blocked_since: float | None = None
         #: Number of the latest change of a worker at its last search that left tasks
         #: over, and elapsed time from which all workers are searched again.
-        self.searched = 0
-        self.search_all_at = 0.0
+        self.searched_change = 0
+        self.full_search_at = 0.0
         #: Tickets by worker, where the queue needs them, and until when they hold.
         self.tickets: dict[str, str] = {}
-        self.tickets_until = 0.0
+        self.tickets_valid_until = 0.0
         #: Workers that may run it now; None if any may.
-        self.only: frozenset[str] | None = None
+        self.allowed_workers: frozenset[str] | None = None
         #: Workers that may, and may not, run the step; this does not change.
-        self.advised: set[str] = set()
-        self.refused: set[str] = set()
+        self.approved_workers: set[str] = set()
+        self.refused_workers: set[str] = set()
         #: True while a call for advice is on its way; elapsed time of the next one.
-        self.asking = False
-        self.ask_at = 0.0
+        self.advice_pending = False
+        self.next_advice_at = 0.0
 
     @property
     def name(self) -> str:
@@ -261,9 +261,9 @@
         return sum(failures) if self.step.gang else max(failures)
 
     @property
-    def finished(self) -> bool:
+    def all_done(self) -> bool:
         """Tell whether all tasks are done."""
-        return self.done == len(self.tasks)
+        return self.done_count == len(self.tasks)
 
     def any_waiting(self) -> bool:
         """Tell whether a task waits to be started."""
@@ -285,7 +285,7 @@
         self.cancelled = False
         #: True once a worker has said that a task of it runs or has ended. It comes
         #: later than `RUNNING`, which is recorded before the first start is sent.
-        self.begun = False
+        self.started = False
         self.steps = {
             (occurrence, number): StepRun(self, occurrence, number)
             for occurrence in range(job.occurrences)
@@ -293,16 +293,18 @@
         }
         #: Bytes that the record has for tasks that are not done, and whether some of
         #: these may have to wait until others make room.
-        self.spare = sizes.spare_bytes(job)
+        self.spare_bytes = sizes.spare_bytes(job)
         count = sum(len(step_run.tasks) for step_run in self.steps.values())
-        self.tight = count * (sizes.TASK_BYTES + sizes.MAX_NAME_BYTES) > self.spare
+        self.tight = (
+            count * (sizes.TASK_BYTES + sizes.MAX_NAME_BYTES) > self.spare_bytes
+        )
         #: Wall time from which the record may be dropped, once the job is over.
         self.drop_at = 0.0
         #: True once its row was given to be cleared.
-        self.swept = False
+        self.cleanup_requested = False
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Tell whether the job has reached a state that it never leaves."""
         return self.state in messages.FINAL
 
@@ -311,16 +313,16 @@
         for step_run in self.steps.values():
             yield from step_run.tasks
 
-    def find(self, occurrence: int, step: int, index: int) -> Task | None:
+    def find_task(self, occurrence: int, step: int, index: int) -> Task | None:
         """Return a task by its numbers, or None if the job has no such task."""
         step_run = self.steps.get((occurrence, step))
         if step_run is None or not 0 <= index < len(step_run.tasks):
             return None
         return step_run.tasks[index]
 
-    def ready(self, wall: float) -> list[StepRun]:
+    def ready_steps(self, wall: float) -> list[StepRun]:
         """Return the steps whose turn has come at wall time `wall`."""
-        if self.over or self.cancelled:
+        if self.ended or self.cancelled:
             return []
         return [
             step_run
@@ -329,29 +331,29 @@
         ]
 
     def _may_run(self, step_run: StepRun, wall: float) -> bool:
-        if step_run.finished:
+        if step_run.all_done:
             return False
         job = self.job
-        if job.timed and wall < job.due(step_run.occurrence):
+        if job.scheduled and wall < job.due(step_run.occurrence):
             return False
         return all(
-            self.steps[step_run.occurrence, earlier].finished
+            self.steps[step_run.occurrence, earlier].all_done
             for earlier in step_run.step.after
         )
 
-    def finished(self) -> bool:
+    def all_done(self) -> bool:
         """Tell whether every task is done."""
-        return all(step_run.finished for step_run in self.steps.values())
+        return all(step_run.all_done for step_run in self.steps.values())
 
     def mark_done(self, task: Task) -> None:
         """Note that a run of the task ended done."""
         if task.phase is not Phase.DONE:
             task.phase = Phase.DONE
-            task.step_run.done += 1
+            task.step_run.done_count += 1
         task.worker = ""
         task.checkpoint = ""
 
-    def may_begin(self, step_run: StepRun, tasks: list[Task]) -> list[Task]:
+    def select_recordable(self, step_run: StepRun, tasks: list[Task]) -> list[Task]:
         """Return those of a step's waiting tasks that the record may have room for.
 
         Those that have a row already come first. When all began, the record of a job
@@ -366,7 +368,7 @@
             return []
         return found
 
-    def fitting(self, chosen: cabc.Sequence[tuple[Task, str]]) -> int:
+    def count_recordable(self, chosen: cabc.Sequence[tuple[Task, str]]) -> int:
         """Return how many of these tasks, in order, may begin on these workers.
 
         A new one leaves room for the longest name, so that when all wait again one of
@@ -377,12 +379,12 @@
         room = self._room()
         names = {task.worker for task in self.tasks()}
         for count, (task, name) in enumerate(chosen):
-            if not task.begun:
+            if not task.has_record:
                 room -= sizes.TASK_BYTES
             if name not in names:
                 room -= len(name) + sizes.NAME_OVERHEAD_BYTES
             names.add(name)
-            if room < (0 if task.begun else sizes.MAX_NAME_BYTES):
+            if room < (0 if task.has_record else sizes.MAX_NAME_BYTES):
                 return count
         return len(chosen)
 
@@ -399,16 +401,16 @@
         ]
         names = {task.worker for task in begun if task.worker}
         taken = sum(len(name) + sizes.NAME_OVERHEAD_BYTES for name in names)
-        return self.spare - taken - len(begun) * sizes.TASK_BYTES
+        return self.spare_bytes - taken - len(begun) * sizes.TASK_BYTES
 
     def record(self, checkpoints: bool = True) -> JobRecord:
         """Return what is to be kept of the present progress."""
-        if self.over:
+        if self.ended:
             return JobRecord(state=self.state, drop_at=self.drop_at)
         workers: dict[str, int] = {}
         rows = []
         for task in self.tasks():
-            if not task.begun:
+            if not task.has_record:
                 continue
             position = -1
             if task.worker:
@@ -424,7 +426,7 @@
                     task.checkpoint if checkpoints else "",
                 )
             )
-        done = tuple(done_row(each) for each in self.steps.values() if each.done)
+        done = tuple(done_row(each) for each in self.steps.values() if each.done_count)
         return JobRecord(self.state, tuple(workers), tuple(rows), done, self._crashes())
 
     def _crashes(self) -> tuple[tuple[int, int, int, int, int], ...]:
@@ -434,10 +436,10 @@
                 task.step_run.number,
                 task.index,
                 task.crashes,
-                task.clear_crashes,
+                task.certain_crashes,
             )
             for task in self.tasks()
-            if task.crashes and task.begun
+            if task.crashes and task.has_record
         )
 
     def restore(self, record: JobRecord) -> None:
@@ -452,13 +454,13 @@
             self._restore_done(DoneRecord(*done))
         for row in record.tasks:
             kept = TaskRecord(*row)
-            task = self.find(kept.occurrence, kept.step, kept.index)
+            task = self.find_task(kept.occurrence, kept.step, kept.index)
             if task is None:
                 continue
             task.run = kept.run
             task.failures = kept.failures
             task.checkpoint = kept.checkpoint
-            self.begun |= kept.failures > 0 or bool(kept.checkpoint)
+            self.started |= kept.failures > 0 or bool(kept.checkpoint)
             if kept.worker >= 0:
                 task.worker = record.workers[kept.worker]
                 task.phase = Phase.DOUBTFUL
@@ -467,10 +469,10 @@
             self._restore_crashes(CrashRecord(*crashed))
 
     def _restore_crashes(self, kept: CrashRecord) -> None:
-        task = self.find(kept.occurrence, kept.step, kept.index)
+        task = self.find_task(kept.occurrence, kept.step, kept.index)
         if task is not None:
             task.crashes = kept.crashes
-            task.clear_crashes = kept.clear_crashes
+            task.certain_crashes = kept.certain_crashes
             task.suspect = True
 
     def _restore_done(self, kept: DoneRecord) -> None:
@@ -480,7 +482,7 @@
         bits = int(kept.tasks, DONE_BASE)
         for task in step_run.tasks:
             if bits >> task.index & 1:
-                self.begun = True
+                self.started = True
                 self.mark_done(task)
 
 
@@ -490,24 +492,24 @@
     return step_run.occurrence, step_run.number, f"{bits:x}"
 
 
-def encode(record: JobRecord) -> str:
+def encode_record(record: JobRecord) -> str:
     """Return the text of a record."""
     return codec.to_json(record)
 
 
-def kept(job: JobProgress) -> str:
+def encode_job(job: JobProgress) -> str:
     """Return the text of a job's record, which fits a row.
 
     Without checkpoints it always does, also with crashes of each task, and the next
     leader can do without them: it starts what has ended meanwhile from the beginning.
     """
-    text = encode(job.record())
+    text = encode_record(job.record())
     if len(text.encode()) <= table.MOST_VALUE:
         return text
-    return encode(job.record(checkpoints=False))
+    return encode_record(job.record(checkpoints=False))
 
 
-def decode(text: str) -> JobRecord:
+def decode_record(text: str) -> JobRecord:
     """Return the record in a text, or raise `codec.DecodeError`.
 
     A row that `restore` could not follow raises too: it would end the takeover of all
--- a/src/mangosail/scheduler/reports.py
+++ b/src/mangosail/scheduler/reports.py
@@ -53,16 +53,16 @@
         self.counters = counters
 
     def process(
-        self, worker: fleet.Worker, look: messages.Look, sent_at: float
+        self, worker: fleet.Worker, look: messages.WorkerReport, sent_at: float
     ) -> None:
         """Take in a look that was asked for at the elapsed time `sent_at`."""
-        first = not worker.known
-        worker.heard(look.clock, self.clock.elapsed())
-        worker.known = True
+        first = not worker.contacted
+        worker.record_contact(look.clock, self.clock.elapsed())
+        worker.contacted = True
         self.crash_tracker.record_reachable(worker)
         for end in look.ended:
-            if end.number > worker.taken_in:
-                worker.taken_in = end.number
+            if end.number > worker.last_end_seen:
+                worker.last_end_seen = end.number
                 self._handle_end(worker, end)
         listed = {}
         for row in look.running:
@@ -85,12 +85,12 @@
         self.counters.count(f"workers.lost.{why}")
         log.warning(
             "worker lost", worker=worker.name, reason=why, tasks=len(worker.tasks),
-            draining=worker.entry.draining, silent=round(now - worker.heard_at, 3),
+            draining=worker.entry.draining, silent=round(now - worker.last_contact_at, 3),
         )  # fmt: skip
         tasks = list(worker.tasks.values())
         for task in tasks:
             self._log_lost_run(worker, task)
-        if worker.gone:
+        if worker.removed:
             suspects = self.crash_tracker.record_incarnation_end(
                 worker, crashed=why in CRASH_REASONS
             )
@@ -110,12 +110,12 @@
     ) -> None:
         """Give a task's job up if the task has crashed enough workers."""
         task = suspect.task
-        if task.job.over:
+        if task.job.ended:
             return
         self.counters.count(f"reports.suspected.{why}")
         log.info(
             "suspected", task=task.name, run=task.run, worker=worker.name, reason=why,
-            late=suspect.started_recently, crashes=task.crashes, clear=task.clear_crashes,
+            late=suspect.started_recently, crashes=task.crashes, clear=task.certain_crashes,
         )  # fmt: skip
         if crashes.exceeds_crash_limit(task):
             self.give_up(task.job)
@@ -129,15 +129,15 @@
         nothing if nothing was heard since, and None if another leader sent it.
         """
         age = None
-        if task.ordered_at is not None:
-            age = round(worker.heard_at - task.ordered_at, 3)
+        if task.start_sent_at is not None:
+            age = round(worker.last_contact_at - task.start_sent_at, 3)
         self.counters.count("reports.runs_lost")
         log.info(
             "run lost", task=task.name, run=task.run, worker=worker.name, age=age,
             phase=task.phase.name.lower(), failures=task.failures,
         )  # fmt: skip
 
-    def _handle_end(self, worker: fleet.Worker, end: messages.End) -> None:
+    def _handle_end(self, worker: fleet.Worker, end: messages.RunEnd) -> None:
         task = self.find_task(end.task)
         self.counters.count(f"reports.ended.{end.outcome.value}")
         log.info(
@@ -146,7 +146,7 @@
         )  # fmt: skip
         if task is None:
             return
-        task.job.begun = True
+        task.job.started = True
         present = task.worker == worker.name and task.run == end.run and task.live
         if crashes.ended_by_itself(end.outcome):
             crashes.reset_crash_counts(task)
@@ -159,7 +159,7 @@
         self,
         worker: fleet.Worker,
         task: progress.Task,
-        end: messages.End,
+        end: messages.RunEnd,
         present: bool,
     ) -> None:
         now = self.clock.elapsed()
@@ -168,7 +168,7 @@
             return
         if present:
             worker.release(task)
-            if task.whole and not task.throttled_at:
+            if task.from_beginning and not task.throttled_at:
                 self.estimator.record(task, now - task.started_at)
         else:
             # An earlier run finished after all; the present one must not, and
@@ -196,7 +196,7 @@
         holder = self.worker_of(task)
         if holder is not None:
             holder.release(task)
-            row = messages.Running(task.name, task.run, "", 0)
+            row = messages.RunningTask(task.name, task.run, "", 0)
             self.orders.stop_unknown(holder, row)
 
     def worker_of(self, task: progress.Task) -> fleet.Worker | None:
@@ -204,7 +204,7 @@
         return self.workers.get(task.worker)
 
     def _handle_failed_or_stopped(
-        self, worker: fleet.Worker, task: progress.Task, end: messages.End
+        self, worker: fleet.Worker, task: progress.Task, end: messages.RunEnd
     ) -> None:
         if end.checkpoint:
             task.checkpoint = end.checkpoint
@@ -215,7 +215,7 @@
     def _record_failure(self, worker: fleet.Worker, task: progress.Task) -> None:
         now = self.clock.elapsed()
         task.failures += 1
-        task.avoid = worker.name
+        task.avoided_worker = worker.name
         # A start from the checkpoint of a failed run may fail the same way; the
         # platform lets it, and the work saved is worth more.
         if self.health.record(worker, task.job.job.job_id, False, now):
@@ -231,11 +231,11 @@
             return
         task.worker = ""
         task.phase = progress.Phase.WAITING
-        task.barred_at = None
+        task.stop_confirmed_at = None
         log.info("waiting again", task=task.name, run=task.run, reason=why)
         self.on_change(task.job)
 
-    def _handle_running(self, worker: fleet.Worker, row: messages.Running) -> None:
+    def _handle_running(self, worker: fleet.Worker, row: messages.RunningTask) -> None:
         task = self.find_task(row.task)
         if task is None or task.worker != worker.name or task.run != row.run:
             if task is None or task.run >= row.run or not task.live:
@@ -251,17 +251,17 @@
                 task.speed_limit = 0
                 task.throttled_at = now
             task.phase = progress.Phase.RUNNING
-            task.began = True
-            task.job.begun = True
-            task.started_at = task.moved_at = now
+            task.start_confirmed = True
+            task.job.started = True
+            task.started_at = task.progressed_at = now
         if task.crashes and crashes.is_stable(task, now):
             crashes.reset_crash_counts(task)
         if row.checkpoint:
             task.checkpoint = row.checkpoint
         self.speeds.record(worker, task, row, now)
-        if row.percent != task.percent:
-            task.percent = row.percent
-            task.moved_at = now
+        if row.progress_percent != task.progress_percent:
+            task.progress_percent = row.progress_percent
+            task.progressed_at = now
         if task.phase is progress.Phase.RUNNING and not orders.is_wanted(task):
             self.orders.stop(task, worker, "cancelled")
 
@@ -271,7 +271,7 @@
         """Judge a run that the worker lists neither as running nor as ended."""
         phase = task.phase
         if phase is progress.Phase.DOUBTFUL:
-            if first and task.ordered_at is None:
+            if first and task.start_sent_at is None:
                 # The worker has seen our token now: what an earlier leader sent
                 # is refused if it comes yet.
                 suspects = self.crash_tracker.record_missing_run(worker, task)
@@ -281,7 +281,7 @@
             else:
                 self.orders.stop(task, worker, "doubt")
         elif phase is progress.Phase.STOPPING:
-            if task.barred_at is not None and sent_at > task.barred_at:
+            if task.stop_confirmed_at is not None and sent_at > task.stop_confirmed_at:
                 self._requeue(worker, task, "barred")
         elif phase is progress.Phase.RUNNING and sent_at > task.started_at:
             self.orders.stop(task, worker, "vanished")
--- a/src/mangosail/scheduler/rounds.py
+++ b/src/mangosail/scheduler/rounds.py
@@ -114,13 +114,13 @@
             waiting = [
                 task
                 for job in self.jobs.values()
-                for step_run in job.ready(self.clock.wall())
+                for step_run in job.ready_steps(self.clock.wall())
                 for task in step_run.waiting()
             ]
             log.info(
                 "state",
                 jobs=len(self.jobs),
-                not_begun=sum(not job.begun for job in self.jobs.values()),
+                not_begun=sum(not job.started for job in self.jobs.values()),
                 waiting_best_effort=sum(task.step.best_effort for task in waiting),
                 waiting_continuous=sum(task.step.continuous for task in waiting),
                 waiting=len(waiting),
@@ -128,10 +128,10 @@
                 workers=len(self.workers),
                 usable=len(usable),
                 latency_critical=sum(
-                    bool(worker.latency_critical) for worker in usable
+                    bool(worker.latency_critical_count) for worker in usable
                 ),
                 free_cores=round(sum(worker.free.cpus for worker in usable)),
-                unused_cores=round(sum(worker.unused for worker in usable)),
+                unused_cores=round(sum(worker.idle_cpus for worker in usable)),
                 slowed=sum(
                     task.speed_limit < throttling.FULL_SPEED
                     for worker in usable
@@ -166,7 +166,9 @@
         self.yielder = yielding.CooperativeYielder(self.clock, YIELD_PAUSE_RATIO)
         now = self.clock.elapsed()
         wall = self.clock.wall()
-        ready = [step_run for job in self.jobs.values() for step_run in job.ready(wall)]
+        ready = [
+            step_run for job in self.jobs.values() for step_run in job.ready_steps(wall)
+        ]
         self.planner.refresh(ready, now, wall)
         self._update_slow_workers(now)
         ready.sort(key=self.planner.sort_key)
@@ -177,11 +179,11 @@
             self.yielder.yield_if_due()
             if self.stopping:
                 return
-            if step_run.job.over or step_run.job.cancelled:
+            if step_run.job.ended or step_run.job.cancelled:
                 # It has ended since the round began.
                 continue
             tasks = [t for t in step_run.waiting() if t.not_before <= now]
-            tasks = step_run.job.may_begin(step_run, tasks)
+            tasks = step_run.job.select_recordable(step_run, tasks)
             if not tasks:
                 continue
             best_effort = step_run.step.best_effort
@@ -217,7 +219,7 @@
                 return
 
     def _move_from(self, worker: fleet.Worker, now: float) -> None:
-        if not worker.reachable or worker.gone:
+        if not worker.reachable or worker.removed:
             return
         for task in list(worker.tasks.values()):
             if throttling.is_stuck(task, now) and self._fits_elsewhere(task, now):
@@ -241,12 +243,12 @@
     def _move_off_slow_worker(self, worker: fleet.Worker, now: float) -> None:
         """Stop what would end sooner if it went on elsewhere."""
         for task in list(worker.tasks.values()):
-            if task.moves >= stragglers.MAX_MOVES:
+            if task.relocations >= stragglers.MAX_MOVES:
                 continue
             if not self.speeds.worth_moving(task, worker, now):
                 continue
             if self._fits_elsewhere(task, now):
-                task.moves += 1
+                task.relocations += 1
                 self.orders.stop(task, worker, "slow")
 
     def _fits_elsewhere(self, task: progress.Task, now: float) -> bool:
@@ -260,8 +262,8 @@
         if not self._fits_elsewhere(task, now):
             worker.avoid_until = before
             return
-        task.moves += 1
-        task.avoid = worker.name
+        task.relocations += 1
+        task.avoided_worker = worker.name
         self.orders.stop(task, worker, "stalled")
 
     def _place_step(
@@ -302,10 +304,10 @@
     def _has_advice(self, step_run: progress.StepRun, now: float) -> bool:
         """Tell whether a step may be placed, after advice if its queue needs any."""
         queue = self._queue(step_run.job.job.queue)
-        if queue is None or not queue.advised:
+        if queue is None or not queue.needs_advice:
             return True
         allowed = self.advice.usable_tickets(step_run, now)
-        step_run.only = frozenset(allowed)
+        step_run.allowed_workers = frozenset(allowed)
         return bool(allowed)
 
     def _start_runs(
@@ -324,14 +326,14 @@
             # The members of a gang share run and checkpoint.
             task.run = together if gang else task.run + 1
             task.checkpoint = saved if gang else task.checkpoint
-            task.whole = not task.checkpoint
+            task.from_beginning = not task.checkpoint
             task.worker = choice.worker.name
-            task.ordered_at = None
-            task.began = False
+            task.start_sent_at = None
+            task.start_confirmed = False
             task.listed = False
-            task.barred_at = None
+            task.stop_confirmed_at = None
         self.journal.record(job)
-        self.journal.then(lambda: self._send(chosen))
+        self.journal.when_durable(lambda: self._send(chosen))
 
     def _preempt_for(
         self, step_run: progress.StepRun, missing: int, service: str, now: float
@@ -387,7 +389,7 @@
 ) -> list[placing.Placement]:
     """Return the choices that the job's record has room for, and undo the others."""
     pairs = [(choice.task, choice.worker.name) for choice in chosen]
-    count = step_run.job.fitting(pairs)
+    count = step_run.job.count_recordable(pairs)
     if step_run.step.gang and count < len(chosen):
         count = 0
     for choice in chosen[count:]:
@@ -403,7 +405,7 @@
     step, other = step_run.step, other_run.step
     if service != other_service or step.best_effort != other.best_effort:
         return False
-    if other.gang or other.most_per_worker or other_run.only is not None:
+    if other.gang or other.most_per_worker or other_run.allowed_workers is not None:
         # It may have failed for what does not bind this one.
         return False
     if step.best_effort and step.image != other.image:
--- a/src/mangosail/scheduler/scheduler.py
+++ b/src/mangosail/scheduler/scheduler.py
@@ -48,11 +48,11 @@
 #: Seconds for which a job's last state is kept beyond what is promised.
 KEEP_MARGIN = 30.0
 #: Seconds for which a worker lets a lease run at most, unless the settings say it.
-LONGEST_LEASE = 10.0
+MAX_LEASE_S = 10.0
 #: Seconds between looks at whether leases of unlisted workers are over.
 EXPIRE_INTERVAL = 0.25
 #: Seconds between attempts to read everything after the lease was won.
-READ_INTERVAL = 0.1
+READ_RETRY_INTERVAL_S = 0.1
 
 
 class Scheduler:
@@ -60,62 +60,62 @@
 
     def __init__(
         self,
-        rows: ports.Rows,
-        calls: ports.Workers,
-        held: journal.Held,
+        rows: ports.WatchableTable,
+        client: ports.WorkerClient,
+        held: journal.HeldLease,
         catalog: cabc.Callable[[], messages.Catalog | None],
-        entry_of: listing.Decode,
+        decode_entry: listing.Decode,
         worker_prefix: str,
         keep_term: float,
         advisor: advice.Advisor,
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        closed: fleet.Closed = frozenset,
-        most_workers: int = sys.maxsize,
-        longest_lease: float = LONGEST_LEASE,
+        closed_data_centres: fleet.ClosedDataCentres = frozenset,
+        max_workers: int = sys.maxsize,
+        max_lease: float = MAX_LEASE_S,
     ) -> None:
         self.rows = rows
-        self.longest_lease = longest_lease
+        self.max_lease = max_lease
         self.keep_term = keep_term
         self.clock = clock
         self.counters = counters
         self.changed = gevent.event.Event()
         self.jobs: dict[str, progress.JobProgress] = {}
         #: States of jobs as read at the takeover, until the jobs are read.
-        self.states: dict[str, progress.JobRecord] = {}
+        self.stored_records: dict[str, progress.JobRecord] = {}
         #: Jobs that are over and whose rows may still be there. When all rows are
         #: read again, they would be taken for new ones and run once more.
-        self.ended: set[str] = set()
-        self.workers = fleet.Fleet(closed)
+        self.ended_jobs: set[str] = set()
+        self.workers = fleet.Fleet(closed_data_centres)
         self.listing = listing.Listing(
             worker_prefix,
-            entry_of,
+            decode_entry,
             self.workers,
             self,
             catalog,
             clock,
             counters,
-            most_workers,
+            max_workers,
         )
         self.model = interference.Model()
-        self.expected = estimates.DurationEstimator()
-        self.speeds = worker_speeds.WorkerSpeeds(self.expected)
-        self.judge = health.Health()
+        self.estimator = estimates.DurationEstimator()
+        self.speeds = worker_speeds.WorkerSpeeds(self.estimator)
+        self.worker_health = health.Health()
         self.journal = journal.Journal(rows, held, clock, counters)
-        self.journal.pending = self.pending
-        self.journal.now_and_again = self._kept_now_and_again
-        self.sweeper = sweeping.Sweeper(rows, self.ended.discard, clock, counters)
+        self.journal.pending_counts = self.pending_counts
+        self.journal.periodic_writes = self._kept_now_and_again
+        self.sweeper = sweeping.Sweeper(rows, self.ended_jobs.discard, clock, counters)
         self.journal.continuous_bound = self.continuous_bound
-        self.journal.workers = self.attended
+        self.journal.worker_count = self.worker_count
         self.returns = admission.ReservationReconciler(rows, self.jobs, clock, counters)
         self.orders = orders.Orders(
-            calls, held.lease.token, self.workers, self.changed, clock, counters
+            client, held.lease.token, self.workers, self.changed, clock, counters
         )
         self.rounds = rounds.PlacementLoop(
             self.jobs,
             self.workers,
             self.model,
-            self.expected,
+            self.estimator,
             self.speeds,
             self.journal,
             self.orders,
@@ -126,20 +126,20 @@
             counters,
         )
         self.reports = reports.ReportProcessor(
-            self.find,
-            self.on_change,
+            self.find_task,
+            self.on_job_change,
             self._give_up,
             self.workers,
             self.orders,
-            self.judge,
+            self.worker_health,
             crashes.CrashTracker(self.workers),
-            self.expected,
+            self.estimator,
             self.speeds,
             clock,
             counters,
         )
-        self.attendance = polling.Attendance(
-            calls,
+        self.poller = polling.Poller(
+            client,
             self.journal,
             self.reports,
             self.orders,
@@ -150,21 +150,21 @@
             clock,
             counters,
         )
-        self.orders.poll_now = self.attendance.look_now
+        self.orders.poll_now = self.poller.poll_now
         self.greenlets = gevent.pool.Group()
-        self.began_at = clock.elapsed()
+        self.leading_since = clock.elapsed()
         #: True once all jobs were read.
         self.jobs_known = False
         #: True once all jobs are known, so that workers can be looked at.
-        self.attending = False
+        self.polling_started = False
 
     def run(self) -> None:
         """Schedule until another instance leads."""
         try:
             writing = self.greenlets.spawn(self.journal.run)
-            for feed in self.read_everything():
+            for feed in self.load():
                 self.greenlets.spawn(feed.run)
-            self.attending = True
+            self.polling_started = True
             shared = yielding.CooperativeYielder(self.clock)
             for worker in self.workers:
                 shared.yield_if_due()
@@ -182,9 +182,9 @@
     def stop(self) -> None:
         """Start nothing more, and hand the lease over."""
         self.rounds.stopping = True
-        self.journal.give_up()
+        self.journal.release()
 
-    def find(self, name: str) -> progress.Task | None:
+    def find_task(self, name: str) -> progress.Task | None:
         """Return the task of that name, or None if no job has it."""
         job_id, _, numbers = name.partition(".")
         job = self.jobs.get(job_id)
@@ -194,9 +194,9 @@
         if len(parts) != 3 or not all(part.isdigit() for part in parts):
             return None
         occurrence, step, index = map(int, parts)
-        return job.find(occurrence, step, index)
+        return job.find_task(occurrence, step, index)
 
-    def pending(self) -> dict[str, int]:
+    def pending_counts(self) -> dict[str, int]:
         """Return how many accepted jobs of each queue have not begun.
 
         A job whose starts are on their way, in doubt or were refused has not begun.
@@ -207,19 +207,19 @@
             return self.journal.held.lease.pending
         counts: dict[str, int] = {}
         for job in self.jobs.values():
-            if not job.begun and not job.over:
+            if not job.started and not job.ended:
                 counts[job.job.queue] = counts.get(job.job.queue, 0) + 1
         return counts
 
     def continuous_bound(self) -> float | None:
         """Return the cores that continuous jobs may take; None if not known yet."""
-        if not self.attending:
+        if not self.polling_started:
             return self.journal.held.lease.continuous_bound
         return admission.continuous_core_limit(self.workers) or None
 
-    def attended(self) -> int:
+    def worker_count(self) -> int:
         """Return how many workers are attended to; the earlier leader's before that."""
-        if not self.attending:
+        if not self.polling_started:
             return self.journal.held.lease.workers
         return len(self.workers)
 
@@ -229,36 +229,36 @@
 
     # What the store holds.
 
-    def read_everything(self) -> tuple[row_watcher.Follower, ...]:
+    def load(self) -> tuple[row_watcher.RowWatcher, ...]:
         """Read jobs, their states and the workers; the lease is ours by now.
 
         Returns what goes on to follow them.
         """
-        workers = row_watcher.Follower(
+        workers = row_watcher.RowWatcher(
             self.rows,
             self.listing.prefix,
             self._take_workers,
             self.clock,
             self.counters,
         )
-        jobs = row_watcher.Follower(
+        jobs = row_watcher.RowWatcher(
             self.rows, keys.JOBS, self._take_jobs, self.clock, self.counters
         )
         # Workers first: a job that was cancelled meanwhile stops its runs at once,
         # and needs to know where they are.
-        while not workers.step(0):
-            self.clock.sleep(READ_INTERVAL)
-        self.states = self._read_states()
+        while not workers.read_once(0):
+            self.clock.sleep(READ_RETRY_INTERVAL_S)
+        self.stored_records = self._read_states()
         self._read_learned()
-        while not jobs.step(0):
-            self.clock.sleep(READ_INTERVAL)
-        self.states = {}
+        while not jobs.read_once(0):
+            self.clock.sleep(READ_RETRY_INTERVAL_S)
+        self.stored_records = {}
         self.jobs_known = True
         self.listing.enforce_limit()
         log.info(
             "took over", jobs=len(self.jobs), workers=len(self.workers),
             token=self.journal.token,
-            seconds=round(self.clock.elapsed() - self.began_at, 3),
+            seconds=round(self.clock.elapsed() - self.leading_since, 3),
         )  # fmt: skip
         return workers, jobs
 
@@ -279,17 +279,17 @@
             found = self.rows.read_all(keys.STATES)
             if isinstance(found, result.Ok):
                 break
-            self.clock.sleep(READ_INTERVAL)
+            self.clock.sleep(READ_RETRY_INTERVAL_S)
         states = {}
         shared = yielding.CooperativeYielder(self.clock)
         for row in found.ok_value.rows:
             shared.yield_if_due()
             job_id = keys.job_id(row.key)
             try:
-                states[job_id] = progress.decode(row.value)
+                states[job_id] = progress.decode_record(row.value)
             except codec.DecodeError as exc:
                 # What has run of it is not known, so nothing of it may start again.
-                self.ended.add(job_id)
+                self.ended_jobs.add(job_id)
                 self._unreadable(row.key, exc)
         return states
 
@@ -311,7 +311,11 @@
 
     def _accept(self, key: str, text: str) -> None:
         job_id = keys.job_id(key)
-        if text == keys.OVER or job_id in self.jobs or job_id in self.ended:
+        if (
+            text == keys.ENDED_JOB_TEXT
+            or job_id in self.jobs
+            or job_id in self.ended_jobs
+        ):
             return
         try:
             job = codec.from_json(text, messages.Job)
@@ -319,11 +323,11 @@
             self._unreadable(key, exc)
             return
         held = progress.JobProgress(job, key)
-        record = self.states.get(job.job_id)
+        record = self.stored_records.get(job.job_id)
         if record is not None:
             held.restore(record)
-        if held.over:
-            self.ended.add(job.job_id)
+        if held.ended:
+            self.ended_jobs.add(job.job_id)
             self.sweeper.job_ended(key, held.drop_at)
             return
         self.jobs[job.job_id] = held
@@ -347,12 +351,12 @@
 
     def _cancel(self, job_id: str) -> None:
         job = self.jobs.get(job_id)
-        if job is None or job.cancelled or job.over:
+        if job is None or job.cancelled or job.ended:
             return
         job.cancelled = True
         self.counters.count("scheduler.jobs_cancelled")
         log.info("cancelling", job=job_id)
-        self._end(job, messages.State.CANCELLED)
+        self._end_job(job, messages.State.CANCELLED)
 
     def _take_workers(self, changes: ports.Changes, whole: bool) -> None:
         self.listing.apply_changes(changes, whole)
@@ -373,40 +377,45 @@
         self, worker: fleet.Worker, entry: messages.WorkerEntry
     ) -> None:
         """Find out which life of a worker answers where an entry says."""
-        if self.attending:
-            self.greenlets.spawn(self.attendance.ask, worker, entry)
+        if self.polling_started:
+            self.greenlets.spawn(self.poller.check_incarnation, worker, entry)
 
     def add(self, entry: messages.WorkerEntry) -> fleet.Worker:
         """Begin to know a worker."""
         worker = self.workers.add(entry)
-        worker.inherited_until = (
-            self.began_at
-            + (polling.HOLD_TERM + polling.UNCONFIRMED_TERM) * (1 + fleet.CLOCK_DRIFT)
-            + fleet.KILL_MARGIN / 1000
+        worker.inherited_runs_until = (
+            self.leading_since
+            + (polling.LEASE_EXTENSION_S + polling.MAX_UNCONFIRMED_S)
+            * (1 + fleet.MAX_CLOCK_DRIFT)
+            + fleet.KILL_MARGIN_MS / 1000
         )
         return worker
 
     def start_polling(self, worker: fleet.Worker) -> None:
         """Begin to look at a worker."""
         # A look before all jobs are known would take their runs for unwanted ones.
-        if not self.attending or not worker.entry.address:
+        if not self.polling_started or not worker.entry.address:
             return
         log.info(
             "worker seen", worker=worker.name, address=worker.entry.address,
             data_centre=worker.entry.data_centre, labels=sorted(worker.entry.labels),
         )  # fmt: skip
-        self.greenlets.spawn(self.attendance.attend, worker)
+        self.greenlets.spawn(self.poller.poll_until_removed, worker)
 
     def stop_polling(self, worker: fleet.Worker) -> None:
         """Attend no longer to a worker that is well and runs nothing."""
         self.workers.remove(worker)
-        self.judge.forget(worker)
+        self.worker_health.forget(worker)
 
-    def _later_life(self, worker: fleet.Worker, look: messages.Look) -> fleet.Worker:
+    def _later_life(
+        self, worker: fleet.Worker, look: messages.WorkerReport
+    ) -> fleet.Worker:
         """Begin to know the life that has answered a look at a worker."""
-        later = self.workers.succeed(worker, look.born, self.clock.elapsed())
-        later.longest_lease = self.longest_lease
-        self.judge.forget(worker)
+        later = self.workers.replace_incarnation(
+            worker, look.incarnation, self.clock.elapsed()
+        )
+        later.max_stray_lease = self.max_lease
+        self.worker_health.forget(worker)
         self._void_tickets(worker)
         self.reports.handle_worker_lost(worker, "restarted", later)
         self.start_polling(later)
@@ -421,10 +430,10 @@
 
     def _gone(self, worker: fleet.Worker, why: str) -> None:
         """Forget a worker whose life is over, and free its tasks."""
-        if worker.gone:
+        if worker.removed:
             return
         self.workers.remove(worker)
-        self.judge.forget(worker)
+        self.worker_health.forget(worker)
         self.reports.handle_worker_lost(worker, why)
         self.changed.set()
 
@@ -440,7 +449,7 @@
             self.listing.rebalance()
             now = self.clock.elapsed()
             for worker in self.workers:
-                if not worker.entry.address and worker.expired(now):
+                if not worker.entry.address and worker.lease_expired(now):
                     self._gone(worker, "never_listed")
 
     def evacuate(self, worker: fleet.Worker) -> None:
@@ -452,31 +461,31 @@
 
     # What becomes of jobs.
 
-    def on_change(self, job: progress.JobProgress) -> None:
+    def on_job_change(self, job: progress.JobProgress) -> None:
         """Take note that tasks of a job have ended or wait again."""
-        if not job.over:
+        if not job.ended:
             self._judge(job)
         self.journal.record(job)
         self.changed.set()
 
     def _judge(self, job: progress.JobProgress) -> None:
-        if job.finished():
-            self._end(job, messages.State.COMPLETED)
+        if job.all_done():
+            self._end_job(job, messages.State.COMPLETED)
             return
         for step_run in job.steps.values():
             if step_run.failures >= job.job.attempts and not step_run.step.continuous:
-                self._end(job, messages.State.FAILED)
+                self._end_job(job, messages.State.FAILED)
                 return
 
     def _give_up(self, job: progress.JobProgress) -> None:
         """End a job of which a task crashes the workers that start it."""
         self.counters.count("scheduler.jobs_given_up")
         log.warning("job given up", job=job.job.job_id)
-        self._end(job, messages.State.FAILED)
+        self._end_job(job, messages.State.FAILED)
 
-    def _end(self, job: progress.JobProgress, state: messages.State) -> None:
+    def _end_job(self, job: progress.JobProgress, state: messages.State) -> None:
         job.state = state
-        self.ended.add(job.job.job_id)
+        self.ended_jobs.add(job.job.job_id)
         job.drop_at = self.clock.wall() + self.keep_term + KEEP_MARGIN
         self.counters.count(f"scheduler.jobs_ended.{state.value}")
         took = round(self.clock.wall() - job.job.accepted_at, 3)
@@ -488,15 +497,15 @@
             if task.phase in (progress.Phase.RUNNING, progress.Phase.DOUBTFUL):
                 self.orders.stop(task, worker, state.value)
         self.journal.record(job)
-        self.journal.then(lambda: self._forget(job))
+        self.journal.when_durable(lambda: self._drop_job(job))
 
-    def _forget(self, job: progress.JobProgress) -> None:
+    def _drop_job(self, job: progress.JobProgress) -> None:
         """Drop a job whose end is durable, once nothing of it runs."""
-        if not job.swept:
-            job.swept = True
+        if not job.cleanup_requested:
+            job.cleanup_requested = True
             self.sweeper.job_ended(job.key, job.drop_at)
         if any(task.live for task in job.tasks()):
-            gevent.spawn_later(1.0, self._forget, job)
+            gevent.spawn_later(1.0, self._drop_job, job)
             return
         self.jobs.pop(job.job.job_id, None)
         for task in job.tasks():
@@ -509,6 +518,6 @@
             self.orders.fenced.wait()
             self.counters.count("scheduler.fenced")
             self.journal.renew_at = 0.0
-            self.journal.wanted.set()
-            self.clock.sleep(READ_INTERVAL)
+            self.journal.write_requested.set()
+            self.clock.sleep(READ_RETRY_INTERVAL_S)
             self.orders.fenced.clear()
--- a/src/mangosail/scheduler/stragglers.py
+++ b/src/mangosail/scheduler/stragglers.py
@@ -47,7 +47,7 @@
         and not step.continuous
         and not step.gang
         and task.speed_limit == throttling.FULL_SPEED
-        and task.moves < MAX_MOVES
+        and task.relocations < MAX_MOVES
         and now - max(task.started_at, task.throttled_at) >= MIN_AGE_S
     )
 
@@ -55,5 +55,5 @@
 def is_stalled(task: progress.Task, now: float) -> bool:
     """Tell whether a task has not moved for long."""
     term = max(STALL_TIMEOUT_S, task.step.estimate * STALL_ESTIMATE_SHARE)
-    since = max(task.moved_at, task.throttled_at)
+    since = max(task.progressed_at, task.throttled_at)
     return now - since >= term
--- a/src/mangosail/scheduler/sweeping.py
+++ b/src/mangosail/scheduler/sweeping.py
@@ -65,7 +65,7 @@
         """Clear and drop what is due; what fails is left for the next sweep."""
         over, self.ended = self.ended, []
         writes, self.failed = self.failed, []
-        writes += [table.Write(key, keys.OVER) for key in over]
+        writes += [table.Write(key, keys.ENDED_JOB_TEXT) for key in over]
         while self.due and self.due[0][0] <= self.clock.wall():
             _, key = heapq.heappop(self.due)
             job_id = keys.job_id(key)
--- a/src/mangosail/scheduler/throttling.py
+++ b/src/mangosail/scheduler/throttling.py
@@ -41,7 +41,10 @@
         self.model = model
 
     def limits(
-        self, worker: fleet.Worker, running: tuple[messages.Running, ...], now: float
+        self,
+        worker: fleet.Worker,
+        running: tuple[messages.RunningTask, ...],
+        now: float,
     ) -> list[SpeedLimit]:
         """Return the changes of speed that the latencies on a worker ask for."""
         level = self._worst_target_share(worker, running, now)
@@ -55,7 +58,8 @@
         suffering = [
             task
             for task in worker.tasks.values()
-            if task.high_since is not None and now - task.high_since >= HIGH_LATENCY_S
+            if task.latency_high_since is not None
+            and now - task.latency_high_since >= HIGH_LATENCY_S
         ]
         if suffering:
             return self._slow_downs(worker, best_effort, suffering, now)
@@ -64,7 +68,10 @@
         return []
 
     def _worst_target_share(
-        self, worker: fleet.Worker, running: tuple[messages.Running, ...], now: float
+        self,
+        worker: fleet.Worker,
+        running: tuple[messages.RunningTask, ...],
+        now: float,
     ) -> float:
         """Note since when each latency is high; return the worst share of a target."""
         worst = 0.0
@@ -72,12 +79,12 @@
             task = worker.tasks.get(row.task)
             if task is None or not interference.is_latency_critical(task.step):
                 continue
-            level = row.figure / task.step.latency_target
+            level = row.measurement / task.step.latency_target
             worst = max(worst, level)
             if level < HIGH_TARGET_SHARE:
-                task.high_since = None
-            elif task.high_since is None:
-                task.high_since = now
+                task.latency_high_since = None
+            elif task.latency_high_since is None:
+                task.latency_high_since = now
         return worst
 
     def _slow_downs(
@@ -88,7 +95,7 @@
         now: float,
     ) -> list[SpeedLimit]:
         """Stop what presses most until the latencies should be low again."""
-        longest = max(now - (task.high_since or now) for task in suffering)
+        longest = max(now - (task.latency_high_since or now) for task in suffering)
         if longest >= THROTTLE_ALL_S:
             # What the model spares may be at fault after all.
             return [SpeedLimit(task, 0) for task in best_effort if task.speed_limit]
--- a/src/mangosail/scheduler/worker_speeds.py
+++ b/src/mangosail/scheduler/worker_speeds.py
@@ -48,19 +48,23 @@
         self,
         worker: fleet.Worker,
         task: progress.Task,
-        row: messages.Running,
+        row: messages.RunningTask,
         now: float,
     ) -> None:
         """Take in the progress of a run since the last look at it."""
-        between = now - task.seen_at
-        if task.seen_run != row.run or task.speed_limit != throttling.FULL_SPEED:
-            task.seen_at, task.seen_percent, task.seen_run = now, row.percent, row.run
+        between = now - task.sample_at
+        if task.sample_run != row.run or task.speed_limit != throttling.FULL_SPEED:
+            task.sample_at, task.sample_percent, task.sample_run = (
+                now,
+                row.progress_percent,
+                row.run,
+            )
             return
-        gained = row.percent - task.seen_percent
+        gained = row.progress_percent - task.sample_percent
         if between < MIN_SAMPLE_INTERVAL_S or gained <= 0 or task.step.continuous:
             # One that stands still is for `stragglers` to judge.
             return
-        task.seen_at, task.seen_percent = now, row.percent
+        task.sample_at, task.sample_percent = now, row.progress_percent
         share = cpu_share(task, row)
         if share < MIN_CPU_SHARE:
             return
@@ -74,14 +78,14 @@
         usual = -math.log(self.estimator.estimate(step_run))
         weight = ESTIMATE_SAMPLE_WEIGHT
         if step_run.rate_samples >= MIN_SAMPLES:
-            usual = step_run.rates / step_run.rate_samples
+            usual = step_run.log_rate_sum / step_run.rate_samples
             weight = SAMPLE_WEIGHT
-        step_run.rates += rate
+        step_run.log_rate_sum += rate
         step_run.rate_samples += 1
         sample = min(max(rate - usual, -MAX_LOG_SAMPLE), MAX_LOG_SAMPLE)
         known = current_log_speed(worker, now)
-        worker.speed = known + weight * (sample - known)
-        worker.speed_at = now
+        worker.log_speed = known + weight * (sample - known)
+        worker.speed_updated_at = now
 
     def worth_moving(
         self, task: progress.Task, worker: fleet.Worker, now: float
@@ -96,21 +100,21 @@
         ):
             return False
         speed = math.exp(current_log_speed(worker, now))
-        rest = 1 - task.percent / 100
+        rest = 1 - task.progress_percent / 100
         anew = rest if step.checkpointing else 1.0
         return rest / speed > MIN_MOVE_GAIN * anew
 
 
-def cpu_share(task: progress.Task, row: messages.Running) -> float:
+def cpu_share(task: progress.Task, row: messages.RunningTask) -> float:
     """Return the share of its cores that a task had lately."""
-    if row.figure <= 0 or not task.step.best_effort:
+    if row.measurement <= 0 or not task.step.best_effort:
         return 1.0
-    return min(row.figure / 1000 / max(task.step.need.cpus, 0.001), 1.0)
+    return min(row.measurement / 1000 / max(task.step.need.cpus, 0.001), 1.0)
 
 
 def current_log_speed(worker: fleet.Worker, now: float) -> float:
     """Return the logarithm of a worker's speed, as far as it still counts."""
-    return worker.speed * math.exp((worker.speed_at - now) / DECAY_S)
+    return worker.log_speed * math.exp((worker.speed_updated_at - now) / DECAY_S)
 
 
 def slow_workers(workers: fleet.Fleet, now: float) -> frozenset[str]:
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -206,7 +206,9 @@
 
 @then("the look is of the life that was born at {born:d}")
 def step_look_born(context, born):
-    assert context.done == result.Ok(messages.Look(3, (), (), born)), context.done
+    assert context.done == result.Ok(messages.WorkerReport(3, (), (), born)), (
+        context.done
+    )
 
 
 @when("a run is started there")
@@ -231,9 +233,9 @@
 
 @then("the look has both, and named the life of the worker that it meant")
 def step_look_has(context):
-    run = messages.Running(f"{JOB}.0.0.1", 2, "saved", 41, 14.0)
-    end = messages.End(58, f"{JOB}.0.0.2", 1, messages.Outcome.DONE, "")
-    look = messages.Look(482113, (run,), (end,))
+    run = messages.RunningTask(f"{JOB}.0.0.1", 2, "saved", 41, 14.0)
+    end = messages.RunEnd(58, f"{JOB}.0.0.2", 1, messages.Outcome.DONE, "")
+    look = messages.WorkerReport(482113, (run,), (end,))
     assert context.done == result.Ok(look), context.done
     _, _, body, headers = context.platform.calls[0]
     assert json.loads(body) == {
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -218,7 +218,7 @@
 @when("it is looked at over its narrow link")
 def step_look(context):
     context.began_at = time.monotonic()
-    context.found = workers.HttpWorkers(4096).look(context.entry, 3, 57, 486000, 0.6)
+    context.found = workers.HttpWorkers(4096).poll(context.entry, 3, 57, 486000, 0.6)
 
 
 @then("the look has failed within {seconds:g} s")
@@ -369,7 +369,7 @@
     watching = leadership.Leadership(rows, "a", clock, counted, random.Random(1))
     held = None
     while held is None:
-        held = watching.watch()
+        held = watching.check()
     catalog = decoding.catalog_of(narrow.configuration(1, 1, HOST))
     context.scheduler = scheduler.Scheduler(
         rows,
--- a/tests/adapter/steps/narrow_uplinks_steps.py
+++ b/tests/adapter/steps/narrow_uplinks_steps.py
@@ -28,8 +28,8 @@
 def step_leader(context, rate):
     rows = store_of(context, rate)
     lease = journal.Lease("one", "1", 1)
-    version = journal.claim(rows, lease, '"1.0"', 0)
-    held = journal.Held(lease, version, version)
+    version = journal.claim_lease(rows, lease, '"1.0"', 0)
+    held = journal.HeldLease(lease, version, version)
     context.journal = journal.Journal(
         rows, held, clocks.SystemClock(), counters.StatsdCounters(None, 0)
     )
@@ -45,7 +45,7 @@
     )
     task = next(job.tasks())
     task.run = 1
-    task.checkpoint = "x" * (size - len(progress.encode(job.record())))
+    task.checkpoint = "x" * (size - len(progress.encode_record(job.record())))
     return job
 
 
--- a/tests/bench/leading.py
+++ b/tests/bench/leading.py
@@ -138,7 +138,7 @@
     lead = leadership.Leadership(store, "one", clock, tally, rand)
     held = None
     while held is None:
-        held = lead.watch()
+        held = lead.check()
     entries = {}
     catalog = messages.Catalog(
         1,
@@ -206,7 +206,7 @@
     waiting = sum(
         len(step_run.waiting())
         for job in leader.jobs.values()
-        for step_run in job.ready(time.time())
+        for step_run in job.ready_steps(time.time())
     )
     live = sum(
         task.phase is progress.Phase.RUNNING
--- a/tests/intake/steps/intake_steps.py
+++ b/tests/intake/steps/intake_steps.py
@@ -136,7 +136,7 @@
         counters.StatsdCounters(None, 0),
         random.Random(1),
     )
-    while lead.watch() is None:
+    while lead.check() is None:
         context.clock.now += 0.5
 
 
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -95,13 +95,13 @@
             self.history += [(done.ok_value, write.key) for write in transaction.writes]
         return done
 
-    def read_all(self, prefix, heard=ports.unheeded):
+    def read_all(self, prefix, heard=ports.ignore_data):
         if self.fault == "down":
             return result.Err(store_errors.Unavailable("down"))
         rows = tuple(self.kept.page(prefix, "", 10**6))
         return result.Ok(ports.Changes(rows, (), self.kept.version))
 
-    def changes(self, prefix, after, wait, heard=ports.unheeded, most=None):
+    def changes(self, prefix, after, wait, heard=ports.ignore_data, most=None):
         if self.fault == "down":
             return result.Err(store_errors.Unavailable("down"))
         if after <= self.forgotten:
@@ -135,7 +135,13 @@
     ):
         address = address or f"{name}:1"
         self.entry = messages.WorkerEntry(
-            name, "pool", address, data_centre, capacity, frozenset(labels), born=born
+            name,
+            "pool",
+            address,
+            data_centre,
+            capacity,
+            frozenset(labels),
+            incarnation=born,
         )
         #: When its clock and its numbers of ends began.
         self.began_at = 0.0 if born is None else clock.now
@@ -183,7 +189,7 @@
         run = self.running.pop(task)
         self.count += 1
         how = messages.Outcome(outcome)
-        self.ended.append(messages.End(self.count, task, run, how, checkpoint))
+        self.ended.append(messages.RunEnd(self.count, task, run, how, checkpoint))
         self.barred[task] = run
 
     def extend(self, deadline):
@@ -316,7 +322,7 @@
 
         return self._call(entry, effect)
 
-    def look(self, entry, token, acknowledged, deadline, wait, aside=False):
+    def poll(self, entry, token, acknowledged, deadline, wait, out_of_band=False):
         def effect(worker):
             if token < worker.token:
                 return result.Err(errors.Rejected(errors.Reason.FENCED))
@@ -327,7 +333,7 @@
             worker.extend(deadline or 0)
             worker.progress += not worker.standing_still
             running = tuple(
-                messages.Running(
+                messages.RunningTask(
                     task,
                     run,
                     "",
@@ -338,7 +344,7 @@
             )
             ended = tuple(worker.ended)
             return result.Ok(
-                messages.Look(worker.clock, running, ended, worker.entry.born)
+                messages.WorkerReport(worker.clock, running, ended, worker.entry.born)
             )
 
         return self._call(entry, effect, order=False)
@@ -360,7 +366,7 @@
         )
         held = None
         for _ in range(20):
-            held = lead.watch()
+            held = lead.check()
             if held is not None:
                 break
             world.clock.now += 0.3
@@ -379,7 +385,7 @@
             lambda: world.closed,
             world.most_workers,
         )
-        self.feeds = self.scheduler.read_everything() if reads else ()
+        self.feeds = self.scheduler.load() if reads else ()
 
     @property
     def journal(self) -> journal.Journal:
@@ -388,7 +394,7 @@
     def round(self, times=1):
         for _ in range(times):
             for feed in self.feeds:
-                feed.step(0)
+                feed.read_once(0)
             looks = [
                 gevent.spawn(self._look, worker)
                 for worker in self.scheduler.workers
@@ -404,7 +410,7 @@
             self.world.clock.now += 0.05
 
     def _look(self, worker):
-        self.scheduler.attendance.look(worker)
+        self.scheduler.poller.poll(worker)
 
     def write(self):
         if self.world.rows.fault != "down":
@@ -412,7 +418,7 @@
         gevent.sleep(0)
 
     def task(self, name):
-        return self.scheduler.find(name)
+        return self.scheduler.find_task(name)
 
     def worker(self, name) -> fleet.Worker:
         return self.scheduler.workers.get(name)
--- a/tests/scheduler/lives.py
+++ b/tests/scheduler/lives.py
@@ -55,7 +55,7 @@
         return self.world.rows.state(job_id)
 
     def task(self, name):
-        return self.leaders[-1].scheduler.find(name)
+        return self.leaders[-1].scheduler.find_task(name)
 
     def worker_of(self, task):
         return next((w for w in self.living() if task in w.running), None)
--- a/tests/scheduler/machine.py
+++ b/tests/scheduler/machine.py
@@ -85,15 +85,15 @@
         )
         held = None
         while held is None:
-            held = lead.watch()
+            held = lead.check()
             world.clock.now += 0.3
         self.scheduler = fakes.scheduler.Scheduler(
             world.rows, world.calls, held, lambda: world.catalog, world.entry_of,
             fakes.WORKERS_PREFIX, fakes.MINUTE, world.advisor, world.clock,
-            world.counters, most_workers=world.most_workers,
+            world.counters, max_workers=world.most_workers,
         )  # fmt: skip
-        self.feeds = self.scheduler.read_everything()
-        self.scheduler.attending = True
+        self.feeds = self.scheduler.load()
+        self.scheduler.polling_started = True
         # Each turn looks at all workers. A loop of looks that never wait would spin.
         self.scheduler.start_polling = lambda worker: None
         self.greenlets.append(gevent.spawn(self.scheduler.expire_forever))
@@ -107,12 +107,12 @@
         if self.deposed:
             return
         for feed in self.feeds:
-            feed.step(0)
+            feed.read_once(0)
         for worker in self.scheduler.workers:
             running = self.looks.get(worker.name)
             idle = running is None or running.ready()
             if worker.entry.address and idle and self.looking:
-                look = self.scheduler.attendance.look
+                look = self.scheduler.poller.poll
                 self.looks[worker.name] = gevent.spawn(look, worker)
         settle()
         self.scheduler.rounds.place()
@@ -377,12 +377,12 @@
         row = self.world.rows.kept.get(keys.state(job_id))
         if row is None:
             return False
-        record = progress.decode(row.value)
+        record = progress.decode_record(row.value)
         if record.state in messages.FINAL:
             return True
         held = progress.JobProgress(self.jobs[job_id])
         held.restore(record)
-        found = held.find(int(occurrence), int(step), int(index))
+        found = held.find_task(int(occurrence), int(step), int(index))
         return found.phase is progress.Phase.DONE
 
     # The end of a history: everything heals, and every job has to end.
@@ -447,7 +447,10 @@
 
     def over(self, job_id):
         row = self.world.rows.kept.get(keys.state(job_id))
-        return row is not None and progress.decode(row.value).state in messages.FINAL
+        return (
+            row is not None
+            and progress.decode_record(row.value).state in messages.FINAL
+        )
 
     # The workers.
 
--- a/tests/scheduler/steps/crashes_steps.py
+++ b/tests/scheduler/steps/crashes_steps.py
@@ -165,19 +165,19 @@
     _, task, _ = context.job.tasks()
     task.run = 2
     task.crashes = 3
-    task.clear_crashes = 1
-    context.kept_record = progress.encode(context.job.record())
+    task.certain_crashes = 1
+    context.kept_record = progress.encode_record(context.job.record())
 
 
 @when("it is read by the next leader")
 def step_next(context):
     context.found = progress.JobProgress(context.job.job)
-    context.found.restore(progress.decode(context.kept_record))
+    context.found.restore(progress.decode_record(context.kept_record))
 
 
 @then("the crash counts against the task")
 def step_counts(context):
-    found = [(task.crashes, task.clear_crashes) for task in context.found.tasks()]
+    found = [(task.crashes, task.certain_crashes) for task in context.found.tasks()]
     assert found == [(0, 0), (3, 1), (0, 0)], found
 
 
--- a/tests/scheduler/steps/following_steps.py
+++ b/tests/scheduler/steps/following_steps.py
@@ -35,7 +35,7 @@
     context.clock = memory.Clock(0.0)
     context.rows = QuietRows(context.clock)
     counts = counters.StatsdCounters(None, 0)
-    context.follower = row_watcher.Follower(
+    context.follower = row_watcher.RowWatcher(
         context.rows, "jobs/", lambda *_: None, context.clock, counts, wait
     )
 
@@ -46,7 +46,7 @@
     context.back_at = back_at
     with logbook.TestHandler() as handler:
         while context.clock.now < back_at + 2:
-            context.follower.follow_once()
+            context.follower.watch_once()
     context.lines = handler.records
 
 
--- a/tests/scheduler/steps/large_records_steps.py
+++ b/tests/scheduler/steps/large_records_steps.py
@@ -141,14 +141,14 @@
 
 @then("what is kept of it takes less than {most:d} bytes")
 def step_small(context, most):
-    context.kept = progress.kept(context.job)
+    context.kept = progress.encode_job(context.job)
     assert len(context.kept) < most, len(context.kept)
 
 
 @then("another leader finds each run where it is")
 def step_found(context):
     found = progress.JobProgress(context.job.job)
-    found.restore(progress.decode(context.kept))
+    found.restore(progress.decode_record(context.kept))
     before = [(task.run, task.worker) for task in context.job.tasks()]
     assert [(task.run, task.worker) for task in found.tasks()] == before
 
--- a/tests/scheduler/steps/leadership_steps.py
+++ b/tests/scheduler/steps/leadership_steps.py
@@ -57,15 +57,15 @@
     context.count = count
     step_died(context, cores)
     context.standby = instance(context, "second", cores)
-    context.standby.watch()
+    context.standby.check()
     held = claim(context, instance(context, "third", cores))
-    context.standby.watch()
+    context.standby.check()
     context.journal = journal.Journal(
         context.world.rows, held, context.world.clock, context.world.counters
     )
-    context.journal.workers = lambda: count
+    context.journal.worker_count = lambda: count
     renew(context)
-    context.standby.watch()
+    context.standby.check()
     die(context)
 
 
@@ -239,4 +239,4 @@
 
 @then("it leaves the lease to others for a while")
 def step_shuns(context):
-    assert context.lead.shun_until > context.clock.now
+    assert context.lead.back_off_until > context.clock.now
--- a/tests/scheduler/steps/planning_steps.py
+++ b/tests/scheduler/steps/planning_steps.py
@@ -27,7 +27,7 @@
     """Return the step that is ready of a job with one step."""
     job = fakes.job(f"{number:016x}", fakes.step(count))
     job = dataclasses.replace(job, accepted_at=WALL)
-    (ready,) = progress.JobProgress(job).ready(WALL)
+    (ready,) = progress.JobProgress(job).ready_steps(WALL)
     return ready
 
 
--- a/tests/scheduler/steps/reach_steps.py
+++ b/tests/scheduler/steps/reach_steps.py
@@ -126,12 +126,12 @@
     for number in range(count):
         add(context, number)
     looked = set()
-    look = context.world.calls.look
+    look = context.world.calls.poll
 
     def counted(worker, *args, **kwargs):
         looked.add(worker.name)
         return look(worker, *args, **kwargs)
 
-    context.world.calls.look = counted
+    context.world.calls.poll = counted
     context.world.lead("first").round(2)
     assert len(looked) == most, len(looked)
--- a/tests/scheduler/steps/records_steps.py
+++ b/tests/scheduler/steps/records_steps.py
@@ -34,9 +34,9 @@
 
 @when("its record is written and read by another leader")
 def read_again(context):
-    text = progress.encode(context.job.record())
+    text = progress.encode_record(context.job.record())
     context.found = new_job(len(tasks_of(context.job)))
-    context.found.restore(progress.decode(text))
+    context.found.restore(progress.decode_record(text))
 
 
 @then("the same tasks are done, and those that ran are in doubt where they were")
@@ -72,7 +72,7 @@
 
 @then("its record takes less than {most:d} bytes")
 def small(context, most):
-    text = progress.encode(context.job.record())
+    text = progress.encode_record(context.job.record())
     assert len(text) < most, text
 
 
@@ -84,7 +84,7 @@
 @then("it can't be read")
 def unreadable(context):
     try:
-        found = progress.decode(context.kept)
+        found = progress.decode_record(context.kept)
     except codec.DecodeError:
         return
     raise AssertionError(found)
--- a/tests/scheduler/steps/rounds_steps.py
+++ b/tests/scheduler/steps/rounds_steps.py
@@ -173,7 +173,7 @@
         next_leader = fakes.Leader(context.world, "next", reads=False)
         context.world.clock.sleep = lambda seconds: take_turn(context, seconds)
         context.began_at = context.world.clock.now
-        next_leader.scheduler.read_everything()
+        next_leader.scheduler.load()
     context.leader = next_leader
 
 
--- a/tests/scheduler/steps/scheduler_steps.py
+++ b/tests/scheduler/steps/scheduler_steps.py
@@ -258,7 +258,7 @@
     for feed in leader.feeds:
         feed.step(0)
     for worker in leader.scheduler.workers:
-        leader.scheduler.attendance.look(worker)
+        leader.scheduler.poller.look(worker)
     for other in others(count):
         leader.journal.record(other)
 
@@ -643,7 +643,7 @@
 
 @given('a queue that asks for advice, which names "{name}"')
 def step_advised(context, name):
-    queue = messages.Queue("q", "h", "/", "pool", 0, 2, 3.0, advised=True)
+    queue = messages.Queue("q", "h", "/", "pool", 0, 2, 3.0, needs_advice=True)
     services = (messages.Service("pool"),)
     context.world.catalog = messages.Catalog(1, (queue,), services)
     context.world.advisor.may = {name}
@@ -670,8 +670,8 @@
     context.world.clock.now += 0.1
     leader.scheduler.orders.stop(task, worker, "doubt")
     gevent.sleep(0)
-    assert task.barred_at is not None, "the stop was not answered"
-    old = messages.Look(int(before * 1000), (), ())
+    assert task.stop_confirmed_at is not None, "the stop was not answered"
+    old = messages.WorkerReport(int(before * 1000), (), ())
     leader.scheduler.reports.take_in(worker, old, before)
     leader.scheduler.rounds.place()
     leader.write()
--- a/tests/scheduler/steps/second_lives_steps.py
+++ b/tests/scheduler/steps/second_lives_steps.py
@@ -211,10 +211,10 @@
     scheduler = history.leaders[-1].scheduler
     worker = scheduler.workers.get(context.worker.entry.name)
     (first,) = [w for w in context.first if w.entry.name == worker.name]
-    ends = (messages.End(1, context.task, 1, messages.Outcome.FAILED, ""),)
-    look = messages.Look(first.clock, (), ends, first.entry.born)
+    ends = (messages.RunEnd(1, context.task, 1, messages.Outcome.FAILED, ""),)
+    look = messages.WorkerReport(first.clock, (), ends, first.entry.born)
     sent_at = history.world.clock.now - 4.0
-    context.taken = scheduler.attendance.take_in(worker, look, sent_at)
+    context.taken = scheduler.poller.take_in(worker, look, sent_at)
 
 
 @then("the task runs on, in the second life")
--- a/tests/scheduler/steps/worker_speeds_steps.py
+++ b/tests/scheduler/steps/worker_speeds_steps.py
@@ -28,8 +28,8 @@
         for number in range(count):
             entry = fakes.Worker(f"w{number}", None).entry
             worker = self.fleet.add(entry)
-            worker.heard(0, self.now)
-            worker.known = True
+            worker.record_contact(0, self.now)
+            worker.contacted = True
 
     def begin(self):
         """Begin the next job, a task each on workers drawn by lot."""
@@ -41,7 +41,7 @@
         for task in job.tasks():
             worker = self.rand.choice(list(self.fleet))
             task.phase, task.run, task.worker = progress.Phase.RUNNING, 1, worker.name
-            task.started_at, task.whole = self.now, True
+            task.started_at, task.from_beginning = self.now, True
             taken = seconds * self.rand.lognormvariate(0, 0.26)
             taken *= self.times if worker.name in self.slow else 1
             self.running.append((task, worker, taken))
@@ -56,7 +56,7 @@
                 self.expected.record(task, taken)
                 continue
             percent = int(100 * passed / taken)
-            row = messages.Running(task.name, 1, "", percent)
+            row = messages.RunningTask(task.name, 1, "", percent)
             self.speeds.record(worker, task, row, self.now)
         self.now += LOOK_INTERVAL
 
@@ -104,8 +104,8 @@
     context.replay = Replay(1, 1, 0, 1)
     context.replay.now += 2
     (context.worker,) = context.replay.fleet
-    context.worker.speed = math.log(0.25)
-    context.worker.speed_at = context.replay.now
+    context.worker.log_speed = math.log(0.25)
+    context.worker.speed_updated_at = context.replay.now
     context.done = done
 
 
@@ -113,7 +113,7 @@
 def judged(context, verdict, saves):
     step = messages.Step(1, fakes.NEED, checkpointing=saves == "keeps")
     (task,) = progress.JobProgress(fakes.job("0" * 16, step)).tasks()
-    task.phase, task.percent, task.started_at = (
+    task.phase, task.progress_percent, task.started_at = (
         progress.Phase.RUNNING, context.done, BEGAN_AT,
     )  # fmt: skip
     moved = context.replay.speeds.worth_moving(task, context.worker, context.replay.now)
