--- a/src/mangosail/control/memory.py
+++ b/src/mangosail/control/memory.py
@@ -11,37 +11,37 @@
 
 #: Part of the memory above which a batch task is evicted. Measurements lag, so
 #: it leaves room for what is taken up until the next one.
-EVICT_ABOVE = 0.92
+EVICTION_THRESHOLD = 0.92
 
 
-class Guard:
+class MemoryGuard:
     """Evicts the task that went furthest past what it declared.
 
     It has no budget: a worker out of memory fails all that runs on it.
     """
 
     def __init__(
-        self, run: work.Work, clock: clocks.Clock, counters: telemetry.Counters
+        self, runner: work.Work, clock: clocks.Clock, counters: telemetry.Counters
     ) -> None:
-        self.run = run
+        self.runner = runner
         self.clock = clock
         self.counters = counters
         #: Wall time of the last eviction by worker; older measurements still
         #: show the task that is gone.
         self.evicted_at: dict[str, float] = {}
 
-    def relieve(
+    def evict_if_short(
         self, owned: workers.OwnedWorker, tasks: list[work_messages.Request]
     ) -> bool:
         """Evict a task if memory is short, and tell whether it is."""
         usage = owned.usage
-        if usage.memory_gb <= EVICT_ABOVE * owned.worker.capacity.memory_gb:
+        if usage.memory_gb <= EVICTION_THRESHOLD * owned.worker.capacity.memory_gb:
             return False
         settled = self.evicted_at.get(owned.name, 0.0) + clocks.CLOCK_SKEW_MARGIN
         if usage.measured_at <= settled or not tasks:
             return True
         worst = max(tasks, key=lambda request: overshoot(usage, request))
-        evicted = self.run.evict(work_messages.task_id_of(worst), "memory")
+        evicted = self.runner.evict(work_messages.task_id_of(worst), "memory")
         if isinstance(evicted, result.Err):
             self.counters.count("control.not_evicted.failed")
             return True
--- a/src/mangosail/control/policy.py
+++ b/src/mangosail/control/policy.py
@@ -17,7 +17,7 @@
     act_above: float
     relax_below: float
     #: Least share of its processors that a throttled task keeps.
-    least_share: float
+    min_share: float
     #: Share that a first step takes from tasks of which nothing is known yet.
     first_step: float
     #: Seconds for which throttled tasks are borne before one is evicted.
@@ -32,12 +32,12 @@
 EVICTIONS_BEFORE_THROUGHPUT = Policy(1.0, 0.85, 0.05, 0.6, 12.0, 2.0)
 
 
-def of(order: cabc.Sequence[schema.Aim]) -> Policy:
+def for_aims(aims: cabc.Sequence[schema.Aim]) -> Policy:
     """Return the policy for aims in the order of their weight::
 
     of([Aim.TAIL, Aim.EVICTIONS, Aim.THROUGHPUT])  # the Fuel Desk
     """
-    rank = {aim: place for place, aim in enumerate(order)}
+    rank = {aim: place for place, aim in enumerate(aims)}
     policy = EVICTIONS_BEFORE_THROUGHPUT
     if rank[schema.Aim.THROUGHPUT] < rank[schema.Aim.EVICTIONS]:
         policy = THROUGHPUT_BEFORE_EVICTIONS
--- a/src/mangosail/control/tails.py
+++ b/src/mangosail/control/tails.py
@@ -10,11 +10,11 @@
 import dataclasses
 
 #: Quotes that are kept for each worker.
-KEPT = 40
+MAX_SAMPLES = 40
 #: Seconds for which a quote says something.
-WINDOW = 5.0
+WINDOW_S = 5.0
 #: Quotes without which nothing is concluded.
-FEWEST = 10
+MIN_SAMPLES = 10
 #: The quantile that stands for the tail: of few quotes it is the highest that
 #: one slow answer with another cause does not move.
 QUANTILE = 0.9
@@ -47,12 +47,12 @@
         """Take in a quote that took `seconds`; without a target it says nothing."""
         if target is None:
             return
-        kept = self.by_worker.setdefault(worker, collections.deque(maxlen=KEPT))
+        kept = self.by_worker.setdefault(worker, collections.deque(maxlen=MAX_SAMPLES))
         kept.append(Sample(started_at, team, seconds / target))
 
     def since(self, worker: str, started_at: float, now: float) -> list[Sample]:
         """Return the worker's quotes that started after `started_at`."""
-        oldest = max(started_at, now - WINDOW)
+        oldest = max(started_at, now - WINDOW_S)
         kept = self.by_worker.get(worker, ())
         return [sample for sample in kept if sample.started_at >= oldest]
 
@@ -62,7 +62,7 @@
 
     >>> tail_of([])
     """
-    if len(samples) < FEWEST:
+    if len(samples) < MIN_SAMPLES:
         return None
     ratios = sorted(sample.ratio for sample in samples)
     return ratios[int(QUANTILE * (len(ratios) - 1))]
--- a/src/mangosail/control/token_bucket.py
+++ b/src/mangosail/control/token_bucket.py
@@ -3,7 +3,7 @@
 from mangosail import clock as clocks
 
 
-class Budget:
+class TokenBucket:
     """`burst` at once at most, and one more every `interval` seconds."""
 
     def __init__(self, clock: clocks.Clock, burst: float, interval: float) -> None:
@@ -11,14 +11,14 @@
         self.burst = burst
         self.interval = interval
         self.tokens = burst
-        self.counted_at = clock.monotonic()
+        self.refilled_at = clock.monotonic()
 
     def take(self) -> bool:
         """Take one token if there is one."""
         now = self.clock.monotonic()
-        earned = (now - self.counted_at) / self.interval
+        earned = (now - self.refilled_at) / self.interval
         self.tokens = min(self.tokens + earned, self.burst)
-        self.counted_at = now
+        self.refilled_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/src/mangosail/control/worker.py
+++ b/src/mangosail/control/worker.py
@@ -13,12 +13,12 @@
     #: The tail before it.
     tail: float
     #: Shares taken away in all; negative if they were given back.
-    shares: float
+    shares_taken: float
     #: Batch tasks on the worker; if they change, the effect proves nothing.
     tasks: frozenset[str]
 
 
-class Controlled:
+class ControlledWorker:
     """One owned worker under control; times are monotonic."""
 
     def __init__(self, owned: workers.OwnedWorker, now: float) -> None:
@@ -28,11 +28,11 @@
         #: Time of the last step; quotes that began before it don't count.
         self.acted_at = now
         #: Time at which there were last enough quotes to tell.
-        self.heard_at = now
+        self.sampled_at = now
         #: Time since which the tail has been too long; None if it is not.
-        self.pressed_since: float | None = None
+        self.over_target_since: float | None = None
         #: Time since which there has been room to let go.
-        self.calm_since = now
+        self.relaxable_since = now
         self.last_step: Step | None = None
 
     def share_of(self, task_id: str) -> float:
--- a/src/mangosail/dispatch/answer_times.py
+++ b/src/mangosail/dispatch/answer_times.py
@@ -9,7 +9,7 @@
 #: The share of answers that came within the learned latency.
 QUANTILE = 0.95
 #: Seconds assumed before enough answers of a kind came.
-UNKNOWN_LATENCY = 0.1
+DEFAULT_LATENCY_S = 0.1
 
 
 class AnswerTimes:
@@ -18,19 +18,19 @@
     def __init__(self) -> None:
         self.samples: dict[str, collections.deque[float]] = {}
         self.learned: dict[str, float] = {}
-        self.unread: collections.Counter[str] = collections.Counter()
+        self.samples_since_refresh: collections.Counter[str] = collections.Counter()
 
     def observe(self, kind: str, seconds: float) -> None:
         """Take in how long an answer took, or that it took longer than this."""
         samples = self.samples.setdefault(kind, collections.deque(maxlen=WINDOW))
         samples.append(seconds)
-        self.unread[kind] += 1
-        if self.unread[kind] < REFRESH_EVERY:
+        self.samples_since_refresh[kind] += 1
+        if self.samples_since_refresh[kind] < REFRESH_EVERY:
             return
-        self.unread[kind] = 0
+        self.samples_since_refresh[kind] = 0
         ordered = sorted(samples)
         self.learned[kind] = ordered[int(len(ordered) * QUANTILE)]
 
-    def high(self, kind: str) -> float:
+    def p95(self, kind: str) -> float:
         """Return the learned 95th percentile of `kind`."""
-        return self.learned.get(kind, UNKNOWN_LATENCY)
+        return self.learned.get(kind, DEFAULT_LATENCY_S)
--- a/src/mangosail/dispatch/connections.py
+++ b/src/mangosail/dispatch/connections.py
@@ -14,10 +14,10 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds after which an idle connection is closed instead of used again.
-IDLE_TERM = 15.0
+IDLE_TIMEOUT_S = 15.0
 #: Seconds that the socket itself waits at most. The deadline of each exchange is
 #: shorter; the socket is used by many, so it can't carry the deadline of one.
-LONGEST_EXCHANGE = 3600.0
+MAX_EXCHANGE_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -35,7 +35,7 @@
     proven: bool = False
 
 
-class Connections:
+class ConnectionPool:
     """The connections of one target."""
 
     def __init__(
@@ -47,7 +47,7 @@
     ) -> None:
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
-        self.free = lock.BoundedSemaphore(limit)
+        self.permits = lock.BoundedSemaphore(limit)
         self.clock = clock
         self.counters = counters
         self.idle: list[Connection] = []
@@ -58,7 +58,7 @@
         Idle ones are used before a new one is opened, so that idle and busy ones
         together stay within the limit; a `fresh` one takes the place of an idle one.
         """
-        if not self.free.acquire(timeout=timeout):
+        if not self.permits.acquire(timeout=timeout):
             return None
         now = self.clock.monotonic()
         if fresh and self.idle:
@@ -77,16 +77,16 @@
             port=self.port,
             concurrency=1,
             connection_timeout=timeout,
-            network_timeout=LONGEST_EXCHANGE,
+            network_timeout=MAX_EXCHANGE_S,
         )
-        return Connection(client, now + IDLE_TERM)
+        return Connection(client, now + IDLE_TIMEOUT_S)
 
     def release(self, connection: Connection) -> None:
         """Keep `connection`, over which a whole answer came, for the next request."""
         connection.proven = True
-        connection.idle_deadline = self.clock.monotonic() + IDLE_TERM
+        connection.idle_deadline = self.clock.monotonic() + IDLE_TIMEOUT_S
         self.idle.append(connection)
-        self.free.release()
+        self.permits.release()
 
     def retire(self, connection: Connection, reason: str) -> None:
         """Close `connection` for good.
@@ -95,7 +95,7 @@
         it; were it used again, the next request would read a stranger's answer.
         """
         self._close(connection, reason)
-        self.free.release()
+        self.permits.release()
 
     def retire_idle(self) -> None:
         """Close all idle connections, which what silenced one may have silenced.
--- a/src/mangosail/dispatch/http.py
+++ b/src/mangosail/dispatch/http.py
@@ -16,7 +16,7 @@
 T = t.TypeVar("T")
 
 #: Shortest time in seconds that an exchange is given.
-SHORTEST_TIMEOUT = 0.01
+MIN_TIMEOUT_S = 0.01
 #: Connections kept for control beside those for requests.
 CONTROL_CONNECTIONS = 4
 
@@ -36,10 +36,10 @@
     ) -> None:
         self.clock = clock
         self.counters = counters
-        self.requests = connections.Connections(
+        self.request_pool = connections.ConnectionPool(
             address, limit - CONTROL_CONNECTIONS, clock, counters
         )
-        self.control = connections.Connections(
+        self.control_pool = connections.ConnectionPool(
             address, CONTROL_CONNECTIONS, clock, counters
         )
 
@@ -47,46 +47,51 @@
         self,
         start: messages.Start,
         deadline: float,
-        on_sent: target.OnSent = target.unheeded,
+        on_sent: target.OnSent = target.ignore_sent,
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Run an idempotent task and return its answer in the same exchange."""
         answer = self._exchange(
-            self.requests, "/run", start, deadline, answer_to(start.task_id), on_sent
+            self.request_pool,
+            "/run",
+            start,
+            deadline,
+            report_decoder(start.task_id),
+            on_sent,
         )
-        return answer.and_then(succeeded)
+        return answer.and_then(require_success)
 
     def start(
         self, start: messages.Start, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Start a task that goes on after the exchange."""
-        return self._task("/tasks", start, start.task_id, deadline)
+        return self._task_exchange("/tasks", start, start.task_id, deadline)
 
     def look_up(
         self, task_id: str, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Return what the worker knows of `task_id`."""
-        return self._task("/look-up", {"task_id": task_id}, task_id, deadline)
+        return self._task_exchange("/look-up", {"task_id": task_id}, task_id, deadline)
 
     def void(
         self, task_id: str, generation: int, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Make sure that this generation does not run from now on."""
         order = {"task_id": task_id, "generation": generation}
-        return self._task("/void", order, task_id, deadline)
+        return self._task_exchange("/void", order, task_id, deadline)
 
     def checkpoint(
         self, task_id: str, name: str, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Have the worker store the task's state as object `name`."""
         order = {"task_id": task_id, "name": name}
-        return self._task("/checkpoint", order, task_id, deadline)
+        return self._task_exchange("/checkpoint", order, task_id, deadline)
 
     def throttle(
         self, task_id: str, share: float, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Let the task have `share` of its processors, from 0 to 1."""
         order = {"task_id": task_id, "share": share}
-        return self._task("/throttle", order, task_id, deadline)
+        return self._task_exchange("/throttle", order, task_id, deadline)
 
     def renew(
         self, lease_deadline: float, owner_generation: int, deadline: float
@@ -96,7 +101,9 @@
             "lease_deadline": lease_deadline,
             "owner_generation": owner_generation,
         }
-        answer = self._exchange(self.control, "/renew", order, deadline, decoder(dict))
+        answer = self._exchange(
+            self.control_pool, "/renew", order, deadline, decoder(dict)
+        )
         return answer.map(lambda _: None)
 
     def snapshot(
@@ -106,16 +113,16 @@
         order = {"since": since, "wait": wait}
         deadline = self.clock.monotonic() + wait + 1.0
         return self._exchange(
-            self.control, "/snapshot", order, deadline, decoder(messages.Snapshot)
+            self.control_pool, "/snapshot", order, deadline, decoder(messages.Snapshot)
         )
 
     def retire_idle(self) -> None:
         """Close the idle connections: one like them was found silent."""
-        self.requests.retire_idle()
-        self.control.retire_idle()
+        self.request_pool.retire_idle()
+        self.control_pool.retire_idle()
 
     def watch(
-        self, subject: str, after: int, silence: float
+        self, subject: str, after: int, idle_timeout: float
     ) -> cabc.Iterator[result.Result[dict[str, t.Any], errors.DispatchError]]:
         """Yield the events of `subject` past sequence number `after`.
 
@@ -125,20 +132,20 @@
         """
         # One that had gone silent would take all the time that the caller gives to the
         # opening. A watch keeps its connection, so nothing is saved by an earlier one.
-        connection = self.requests.acquire(timeout=silence, fresh=True)
+        connection = self.request_pool.acquire(timeout=idle_timeout, fresh=True)
         if connection is None:
             yield result.Err(errors.NotSent("connections"))
             return
         query = urllib.parse.urlencode({"subject": subject, "after": after})
         try:
-            with gevent.Timeout(silence):
+            with gevent.Timeout(idle_timeout):
                 response = connection.client.get(f"/watch?{query}")
             if response.status_code != OK:
                 yield result.Err(errors.Refused(str(response.status_code)))
                 return
             yield result.Ok({})
             while True:
-                with gevent.Timeout(silence):
+                with gevent.Timeout(idle_timeout):
                     line = response.readline(sep=b"\n")
                 if not line:
                     return
@@ -148,27 +155,29 @@
         except (OSError, http_response.HTTPParseError, codec.DecodeError) as exc:
             yield result.Err(errors.Lost(type(exc).__name__))
         finally:
-            self.requests.retire(connection, "watch_ended")
+            self.request_pool.retire(connection, "watch_ended")
 
-    def _task(
+    def _task_exchange(
         self, path: str, order: t.Any, task_id: str, deadline: float
     ) -> result.Result[messages.Report, errors.DispatchError]:
-        return self._exchange(self.control, path, order, deadline, answer_to(task_id))
+        return self._exchange(
+            self.control_pool, path, order, deadline, report_decoder(task_id)
+        )
 
     def _exchange(
         self,
-        pool: connections.Connections,
+        pool: connections.ConnectionPool,
         path: str,
         order: t.Any,
         deadline: float,
         read: cabc.Callable[[bytes], result.Result[T, errors.DispatchError]],
-        on_sent: target.OnSent = target.unheeded,
+        on_sent: target.OnSent = target.ignore_sent,
     ) -> result.Result[T, errors.DispatchError]:
         """Send `order` and return what `read` makes of the whole answer.
 
         Only a connection whose answer was whole and right is used again.
         """
-        left = max(deadline - self.clock.monotonic(), SHORTEST_TIMEOUT)
+        left = max(deadline - self.clock.monotonic(), MIN_TIMEOUT_S)
         connection = pool.acquire(left)
         if connection is None:
             self.counters.count("dispatch.not_sent.connections")
@@ -224,7 +233,7 @@
     return read
 
 
-def answer_to(
+def report_decoder(
     task_id: str,
 ) -> cabc.Callable[[bytes], result.Result[messages.Report, errors.DispatchError]]:
     """Return a function that reads a report on `task_id` and on nothing else."""
@@ -239,7 +248,7 @@
     return read
 
 
-def succeeded(
+def require_success(
     report: messages.Report,
 ) -> result.Result[messages.Report, errors.DispatchError]:
     """Return `report` if its task came to its end."""
--- a/src/mangosail/dispatch/target.py
+++ b/src/mangosail/dispatch/target.py
@@ -11,7 +11,7 @@
 OnSent = cabc.Callable[[bool], None]
 
 
-def unheeded(proven: bool) -> None:
+def ignore_sent(proven: bool) -> None:
     """Take no note of when an order goes out."""
 
 
@@ -19,7 +19,7 @@
     """The service on one worker. Deadlines are monotonic seconds."""
 
     def run(
-        self, start: messages.Start, deadline: float, on_sent: OnSent = unheeded
+        self, start: messages.Start, deadline: float, on_sent: OnSent = ignore_sent
     ) -> result.Result[messages.Report, errors.DispatchError]:
         """Run an idempotent task and return its answer in the same exchange."""
 
@@ -66,7 +66,7 @@
         """
 
     def watch(
-        self, subject: str, after: int, silence: float
+        self, subject: str, after: int, idle_timeout: float
     ) -> cabc.Iterator[result.Result[dict[str, t.Any], errors.DispatchError]]:
         """Yield the events of `subject` past sequence number `after`.
 
--- a/src/mangosail/front/attempts.py
+++ b/src/mangosail/front/attempts.py
@@ -189,7 +189,7 @@
         if is_lost(attempt.answer):
             self._settle(attempt)
         else:
-            self.placer.ended(task_id, ok=isinstance(attempt.answer, result.Ok))
+            self.placer.finish(task_id, ok=isinstance(attempt.answer, result.Ok))
             self.extra.discard(attempt)
 
     def _observe(self, attempt: Attempt) -> None:
@@ -226,7 +226,7 @@
             self.clock.sleep(VOID_INTERVAL)
         else:
             self.counters.count("dispatch.settled.lease_over")
-        self.placer.withdraw(start.task_id)
+        self.placer.release(start.task_id)
         self.extra.discard(attempt)
 
     def _note(
@@ -267,9 +267,9 @@
             return
         attempt.blamed = True
         if attempt.answer is None:
-            self.placer.late(attempt.start.task_id)
+            self.placer.record_timeout(attempt.start.task_id)
         else:
-            self.placer.note(attempt.start.task_id, ok=False)
+            self.placer.record_outcome(attempt.start.task_id, ok=False)
 
 
 def work_of(request: messages.ServiceRequest, suffix: str) -> placement_messages.Work:
--- a/src/mangosail/front/quotes.py
+++ b/src/mangosail/front/quotes.py
@@ -173,7 +173,7 @@
         #: Why the last attempt found no place.
         self.refused = NO_ROOM
         now = self.began_at = quotes.clock.monotonic()
-        self.patience = max(quotes.latencies.high(request.kind), SHORTEST_PATIENCE)
+        self.patience = max(quotes.latencies.p95(request.kind), SHORTEST_PATIENCE)
         self.hedge_at = now + self.patience
         self.lost_at = now + (request.deadline - now) * LOST_SHARE
 
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -188,7 +188,7 @@
     def _open_front(self) -> None:
         """Make what serves callers, operators and peers."""
         seen = tails.Tails()
-        self.control = loop.Control(
+        self.control = loop.ControlLoop(
             self.workers,
             seen,
             self.runner,
@@ -285,7 +285,7 @@
         loops.start(self.spread.learn, spread.LEARN_INTERVAL)
         gevent.spawn(self.jobs.place_forever)
         if self.process.control is process.Control.ON:
-            loops.start(self.control.step, loop.INTERVAL)
+            loops.start(self.control.step, loop.INTERVAL_S)
         loops.start(self.jobs.recording.record, recording.RECORD_INTERVAL)
         loops.start(self.takeover.refresh, REFRESH_INTERVAL)
         gevent.spawn(self.counters.flush_forever)
--- a/src/mangosail/intake/catalogs.py
+++ b/src/mangosail/intake/catalogs.py
@@ -12,16 +12,16 @@
 
 #: Seconds for which a request that follows the configuration waits. Its answers say
 #: that the store is in reach.
-FOLLOW_WAIT = 0.5
+FOLLOW_WAIT_S = 0.5
 #: Seconds without a word from the store after which it counts as out of reach: a
 #: following request waits 0.5 s; the rest is for a store or an instance that is slow.
-STALE_TERM = 1.5
+STALE_AFTER_S = 1.5
 #: Seconds that a caller is kept at most until it is known whether a queue was added: of
 #: the 3 s that it has, what leaves time for the rest.
-REFRESH_TERM = 2.5
+REFRESH_TIMEOUT_S = 2.5
 #: Seconds within which a change of the configuration must be in force, unless the
 #: platform says otherwise.
-MOST_AGE = 2.0
+MAX_AGE_S = 2.0
 
 
 class Catalogs:
@@ -37,52 +37,58 @@
         decode: cabc.Callable[[str], messages.Catalog | None],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        most_age: float = MOST_AGE,
+        max_age: float = MAX_AGE_S,
         closed_prefix: str | None = None,
     ) -> None:
         self.key = key
         self.decode = decode
         self.clock = clock
         self.counters = counters
-        self.present: messages.Catalog | None = None
+        self.catalog: messages.Catalog | None = None
         self.by_host: dict[str, list[messages.Queue]] = {}
         #: Begins the keys of rows that close a data centre, each until it is dropped.
         self.closed_prefix = closed_prefix
         self.closed: frozenset[str] = frozenset()
         #: Seconds for which it may be gone by after it was surely the newest: a change
         #: must be in force by then.
-        self.most_age = most_age
+        self.max_age = max_age
         #: Elapsed time at which a peer last answered in the place of this instance.
-        self.doubted_at: float | None = None
+        self.invalidated_at: float | None = None
         prefix = key[: key.rindex("/") + 1]
         self.follower = row_watcher.RowWatcher(
-            rows, prefix, self._take, clock, counters, FOLLOW_WAIT, latest_only=True
+            rows,
+            prefix,
+            self._apply_changes,
+            clock,
+            counters,
+            FOLLOW_WAIT_S,
+            latest_only=True,
         )
 
     @property
     def version(self) -> int:
         """Return the newest version that was read; 0 before the first."""
-        return self.present.version if self.present else 0
+        return self.catalog.version if self.catalog else 0
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Go by the present catalog no longer until it was read anew.
 
         A caller was just answered by a peer, which may have a newer one. To answer
         the next by an older one would take back what is in force.
         """
-        self.doubted_at = self.clock.elapsed()
+        self.invalidated_at = self.clock.elapsed()
 
     @property
-    def doubted(self) -> bool:
+    def invalidated(self) -> bool:
         """Tell whether a peer may have a newer catalog than this instance."""
-        if self.doubted_at is None:
+        if self.invalidated_at is None:
             return False
         fresh_at = self.follower.fresh_at
-        return fresh_at is None or fresh_at <= self.doubted_at
+        return fresh_at is None or fresh_at <= self.invalidated_at
 
     def current(self) -> messages.Catalog | None:
         """Return the newest catalog, or None before the first was read."""
-        return self.present
+        return self.catalog
 
     def find(self, host: str, path: str) -> messages.Queue | None:
         """Return the queue with the longest prefix of `path`, or None."""
@@ -103,7 +109,7 @@
             return True
         now = self.clock.elapsed()
         silent_since = max(fresh_at, heard_at or fresh_at)
-        return now - silent_since > STALE_TERM or now - fresh_at > self.most_age
+        return now - silent_since > STALE_AFTER_S or now - fresh_at > self.max_age
 
     def age(self) -> float | None:
         """Return the seconds since this was surely the newest; None before that."""
@@ -121,20 +127,20 @@
         fresh_at = self.follower.fresh_at
         if fresh_at is None or not self.follower.active_responses:
             return False
-        return self.clock.elapsed() - fresh_at > self.most_age
+        return self.clock.elapsed() - fresh_at > self.max_age
 
-    def refresh(self, term: float = REFRESH_TERM) -> bool:
+    def refresh(self, timeout: float = REFRESH_TIMEOUT_S) -> bool:
         """Read what has changed now, and tell whether that went well within `term`.
 
         A path that no queue has may belong to one that was added just now.
         """
-        return self.follower.refresh(term)
+        return self.follower.refresh(timeout)
 
     def closed_data_centres(self) -> frozenset[str]:
         """Return the data centres whose workers may be sent nothing more."""
         return self.closed
 
-    def _close(self, changes: ports.Changes, whole: bool) -> None:
+    def _update_closed(self, changes: ports.Changes, whole: bool) -> None:
         """Take in which data centres are closed, and which are open again."""
         if self.closed_prefix is None:
             return
@@ -147,8 +153,8 @@
             log.info("closed data centres", now=sorted(closed), was=sorted(self.closed))
         self.closed = closed
 
-    def _take(self, changes: ports.Changes, whole: bool) -> None:
-        self._close(changes, whole)
+    def _apply_changes(self, changes: ports.Changes, whole: bool) -> None:
+        self._update_closed(changes, whole)
         for row in changes.rows:
             if row.key != self.key:
                 continue
@@ -157,12 +163,12 @@
                 self.counters.count("catalog.unreadable")
                 log.error("catalog unreadable", version=row.version)
                 continue
-            self._use(catalog)
+            self._install(catalog)
 
-    def _use(self, catalog: messages.Catalog) -> None:
-        if self.present is not None and catalog.version <= self.present.version:
+    def _install(self, catalog: messages.Catalog) -> None:
+        if self.catalog is not None and catalog.version <= self.catalog.version:
             return
-        self.present = catalog
+        self.catalog = catalog
         by_host: dict[str, list[messages.Queue]] = {}
         for queue in catalog.queues:
             by_host.setdefault(queue.host, []).append(queue)
--- a/src/mangosail/intake/errors.py
+++ b/src/mangosail/intake/errors.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 #: Reasons of refusals that another instance may not have.
-AWAY = frozenset({"store_away", "catalog_stale", "no_catalog"})
+LOCAL_REASONS = frozenset({"store_away", "catalog_stale", "no_catalog"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/mangosail/intake/job_service.py
+++ b/src/mangosail/intake/job_service.py
@@ -30,66 +30,68 @@
 
 #: Seconds after which a write without an answer is not tried again. Its caller does
 #: better to ask at another instance than to be kept while this one finds out.
-DECIDE_TERM = 1.0
+COMMIT_TIMEOUT_S = 1.0
 #: Seconds before a write that was refused is tried again.
-RETRY_INTERVAL = 0.08
+RETRY_INTERVAL_S = 0.08
 #: Seconds after which a caller that was refused should come back.
-COME_BACK = 0.3
+RETRY_AFTER_S = 0.3
 #: Seconds after which a continuous job that was refused may find room.
-CONTINUOUS_COME_BACK = 2.0
+CONTINUOUS_RETRY_AFTER_S = 2.0
 #: Seconds for which counts of waiting jobs are used again.
-PENDING_TERM = 0.5
+PENDING_TTL_S = 0.5
 #: States that are remembered for callers who ask while the store is away.
-MOST_REMEMBERED = 20000
+MAX_CACHED_STATES = 20000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Counts:
+class PendingCounts:
     """Jobs that wait, by queue, and until when the counts may be used."""
 
     by_queue: dict[str, int]
-    deadline: float
+    expires_at: float
 
 
 #: What handing in or cancelling may fail with.
 ChangeError = errors.Refused | errors.Undecided | errors.UnknownJob
 
 #: What has become of a write, as far as can be known.
-Decision = result.Result[int, store_errors.Conflict | errors.Refused | errors.Undecided]
+WriteResult = result.Result[
+    int, store_errors.Conflict | errors.Refused | errors.Undecided
+]
 
 
-class Desk:
+class JobService:
     """Hands jobs in, looks them up and cancels them, all in the store."""
 
     def __init__(
         self,
         rows: ports.WatchableTable,
-        away: cabc.Callable[[], bool],
+        store_unreachable: cabc.Callable[[], bool],
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
         #: Tells whether the store has been out of reach for a while.
-        self.away = away
+        self.store_unreachable = store_unreachable
         self.clock = clock
         self.counters = counters
-        self.counts = Counts({}, 0.0)
+        self.pending_counts = PendingCounts({}, 0.0)
         #: What was last read of each job's state.
-        self.remembered: dict[str, messages.State] = {}
+        self.cached_states: dict[str, messages.State] = {}
 
-    def hand_in(self, job: messages.Job) -> result.Result[None, ChangeError]:
+    def submit(self, job: messages.Job) -> result.Result[None, ChangeError]:
         """Store a job; one that is stored already is accepted again."""
         began_at = self.clock.elapsed()
-        deadline = began_at + DECIDE_TERM
+        deadline = began_at + COMMIT_TIMEOUT_S
         cores = admission.continuous_cores(job)
-        if self.away():
+        if self.store_unreachable():
             # Nothing is sent, so the refusal is true; trying would keep the caller
             # for seconds and end without a certain answer.
-            done: Decision = result.Err(errors.Refused("store_away", COME_BACK))
+            done: WriteResult = result.Err(errors.Refused("store_away", RETRY_AFTER_S))
         elif cores:
-            done = self._admit(job, cores, deadline)
+            done = self._submit_continuous(job, cores, deadline)
         else:
-            done = self._decide(storing(job), deadline)
+            done = self._commit(store_transaction(job), deadline)
         took = self.clock.elapsed() - began_at
         self.counters.time("intake.stored", took)
         outcome = outcome_of(done)
@@ -98,9 +100,11 @@
             "handed in", job=job.job_id, queue=job.queue, outcome=outcome,
             seconds=round(took, 4), tasks=sum(step.count for step in job.steps),
         )  # fmt: skip
-        return accepted(done)
+        return caller_result(done)
 
-    def _admit(self, job: messages.Job, cores: float, deadline: float) -> Decision:
+    def _submit_continuous(
+        self, job: messages.Job, cores: float, deadline: float
+    ) -> WriteResult:
         """Store a continuous job, within the bound on all that do."""
         attempted = False
         while True:
@@ -108,19 +112,19 @@
             if isinstance(found, result.Err):
                 if attempted:
                     return result.Err(errors.Undecided("store_away"))
-                return result.Err(errors.Refused("store_away", COME_BACK))
+                return result.Err(errors.Refused("store_away", RETRY_AFTER_S))
             rows = {row.key: row for row in found.ok_value.rows}
-            place = places_of(rows)
+            place = continuous_capacity(rows)
             if place.bound is not None and place.taken + cores > place.bound:
                 return self._refuse_continuous(job, place)
             check = table.Check(keys.CONTINUOUS, place.version)
             taken = codec.to_json(admission.ContinuousReservation(place.taken + cores))
-            plain = storing(job)
+            plain = store_transaction(job)
             transaction = table.Transaction(
                 (*plain.checks, check),
                 (*plain.writes, table.Write(keys.CONTINUOUS, taken)),
             )
-            done = self._decide(transaction, deadline)
+            done = self._commit(transaction, deadline)
             attempted = True
             overtaken = store_errors.Conflict(keys.CONTINUOUS)
             if isinstance(done, result.Ok) or done.err_value != overtaken:
@@ -129,10 +133,12 @@
                 # Taken for any other conflict it said that the job was stored: where
                 # hundreds are handed in at once, callers were told of jobs that nobody
                 # knew. It is not stored, as no attempt holds the row's present version.
-                return result.Err(errors.Refused("room_contended", COME_BACK))
+                return result.Err(errors.Refused("room_contended", RETRY_AFTER_S))
             self.counters.count("intake.retry.continuous_conflict")
 
-    def _refuse_continuous(self, job: messages.Job, place: "Place") -> Decision:
+    def _refuse_continuous(
+        self, job: messages.Job, capacity: "ContinuousCapacity"
+    ) -> WriteResult:
         """Refuse a continuous job, unless an attempt before this one stored it."""
         key = keys.continuous_job(job.job_id)
         found = self.rows.read([key])
@@ -143,18 +149,18 @@
         log.info(
             "no room for continuous",
             job=job.job_id,
-            taken=place.taken,
-            most=place.bound,
+            taken=capacity.taken,
+            most=capacity.bound,
         )
         return result.Err(
-            errors.Refused("no_room_for_continuous", CONTINUOUS_COME_BACK)
+            errors.Refused("no_room_for_continuous", CONTINUOUS_RETRY_AFTER_S)
         )
 
     def state(
         self, job_id: str
     ) -> result.Result[messages.State, errors.UnknownJob | errors.Refused]:
         """Return what a job is shown as."""
-        known = self.remembered.get(job_id)
+        known = self.cached_states.get(job_id)
         if known in messages.FINAL and known is not None:
             return result.Ok(known)
         found = self._read_state(job_id)
@@ -166,9 +172,9 @@
                 return found
             return result.Ok(known)
         state = found.ok_value
-        if len(self.remembered) >= MOST_REMEMBERED:
-            self.remembered.clear()
-        self.remembered[job_id] = state
+        if len(self.cached_states) >= MAX_CACHED_STATES:
+            self.cached_states.clear()
+        self.cached_states[job_id] = state
         return result.Ok(state)
 
     def _read_state(
@@ -182,7 +188,7 @@
         ):
             found = self.rows.read([key])
             if isinstance(found, result.Err):
-                return result.Err(errors.Refused("store_away", COME_BACK))
+                return result.Err(errors.Refused("store_away", RETRY_AFTER_S))
             row = found.ok_value.get(key)
             if row is None:
                 continue
@@ -201,31 +207,31 @@
             return result.Ok(None)
         key = keys.cancellation(job_id)
         transaction = table.Transaction((), (table.Write(key, "1"),))
-        done = self._decide(transaction, began_at + DECIDE_TERM)
+        done = self._commit(transaction, began_at + COMMIT_TIMEOUT_S)
         log.info("cancel asked", job=job_id, done=isinstance(done, result.Ok))
         self.counters.count("intake.cancelled")
-        return accepted(done)
+        return caller_result(done)
 
     def pending(self, queue: str) -> result.Result[int, errors.Refused]:
         """Return how many accepted jobs of a queue have not begun."""
         now = self.clock.elapsed()
-        if now >= self.counts.deadline:
+        if now >= self.pending_counts.expires_at:
             found = self.rows.read([keys.LEASE])
             if isinstance(found, result.Err):
-                return result.Err(errors.Refused("store_away", COME_BACK))
+                return result.Err(errors.Refused("store_away", RETRY_AFTER_S))
             row = found.ok_value.get(keys.LEASE)
             lease = codec.from_json(row.value, journal.Lease) if row else None
             by_queue = lease.pending if lease else {}
-            self.counts = Counts(by_queue, now + PENDING_TERM)
-        return result.Ok(self.counts.by_queue.get(queue, 0))
+            self.pending_counts = PendingCounts(by_queue, now + PENDING_TTL_S)
+        return result.Ok(self.pending_counts.by_queue.get(queue, 0))
 
-    def _landed(self, key: str) -> int | None:
+    def _stored_version(self, key: str) -> int | None:
         """Return the version of a row that callers only ever write once."""
         found = self.rows.read([key])
         row = found.ok_value.get(key) if isinstance(found, result.Ok) else None
         return row.version if row else None
 
-    def _decide(self, transaction: table.Transaction, deadline: float) -> Decision:
+    def _commit(self, transaction: table.Transaction, deadline: float) -> WriteResult:
         """Commit, and find out what became of it if the answer is lost.
 
         The transaction is sent again on a new connection; its check makes sure
@@ -235,7 +241,7 @@
         lost = ""
         key = transaction.writes[0].key
         attempts = commits.Attempts(
-            self.rows, transaction, lambda: self._landed(key), self.clock
+            self.rows, transaction, lambda: self._stored_version(key), self.clock
         )
         while True:
             done = attempts.try_commit()
@@ -250,14 +256,14 @@
                 lost = error.reason or reason
             if self.clock.elapsed() >= deadline or not lost:
                 break
-            self.clock.sleep(RETRY_INTERVAL)
+            self.clock.sleep(RETRY_INTERVAL_S)
         if lost:
             return result.Err(errors.Undecided(lost))
-        return result.Err(errors.Refused("store_away", COME_BACK))
+        return result.Err(errors.Refused("store_away", RETRY_AFTER_S))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class ContinuousCapacity:
     """What continuous jobs have taken, and may take, as read from the store."""
 
     taken: float
@@ -265,7 +271,7 @@
     bound: float | None
 
 
-def places_of(rows: cabc.Mapping[str, table.Row]) -> Place:
+def continuous_capacity(rows: cabc.Mapping[str, table.Row]) -> ContinuousCapacity:
     """Return what the rows of the leadership say of continuous jobs."""
     held, leader = rows.get(keys.CONTINUOUS), rows.get(keys.LEASE)
     taken = (
@@ -275,10 +281,10 @@
     )
     version = held.version if held else table.ABSENT
     lease = codec.from_json(leader.value, journal.Lease) if leader else None
-    return Place(taken, version, lease.continuous_bound if lease else None)
+    return ContinuousCapacity(taken, version, lease.continuous_bound if lease else None)
 
 
-def storing(job: messages.Job) -> table.Transaction:
+def store_transaction(job: messages.Job) -> table.Transaction:
     """Return the transaction that stores a job, if no such job is stored."""
     key = keys.job(job.job_id)
     if admission.continuous_cores(job):
@@ -289,7 +295,7 @@
     )
 
 
-def accepted(done: Decision) -> result.Result[None, ChangeError]:
+def caller_result(done: WriteResult) -> result.Result[None, ChangeError]:
     """Return what the caller is told; a row that exists already is as good.
 
     The only conflict that a decision names is that of the job's own row.
@@ -302,7 +308,7 @@
     return result.Err(error)
 
 
-def outcome_of(done: Decision) -> str:
+def outcome_of(done: WriteResult) -> str:
     """Return the name under which a write's outcome is counted."""
     if isinstance(done, result.Ok):
         return "accepted"
--- a/src/mangosail/intake/peers.py
+++ b/src/mangosail/intake/peers.py
@@ -20,16 +20,16 @@
 
 #: Seconds between readings. Instances seldom come and go, and one that is gone costs
 #: a request that is passed on to it no more than its time limit.
-READ_INTERVAL = 10.0
+READ_INTERVAL_S = 10.0
 #: Readings between two writings of the own row.
-READINGS_A_WRITE = 6
+READS_PER_WRITE = 6
 #: Seconds after which an instance whose row was not written again counts as gone: two
 #: writings, and what wall clocks may differ by.
-GONE_TERM = 150.0
+PEER_EXPIRY_S = 150.0
 #: Seconds after which the row of an instance that is gone is dropped.
-DROP_TERM = 3600.0
+ROW_RETENTION_S = 3600.0
 #: Seconds before a row that could not be written, or read, is tried again.
-RETRY_INTERVAL = 0.5
+RETRY_INTERVAL_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,18 +64,18 @@
         """Write the own row and read all of them, again and again."""
         readings = 0
         while True:
-            written = readings % READINGS_A_WRITE != 0 or self.register()
+            written = readings % READS_PER_WRITE != 0 or self.register()
             done = self.read() and written
             if done:
                 readings += 1
-            self.clock.sleep(READ_INTERVAL if done else RETRY_INTERVAL)
+            self.clock.sleep(READ_INTERVAL_S if done else RETRY_INTERVAL_S)
 
     def register(self) -> bool:
         """Write the own row, over that of an earlier run of this instance."""
         row = dataclasses.replace(self.own, written_at=self.clock.wall())
         return self._write(self.own.name, codec.to_json(row))
 
-    def leave(self) -> None:
+    def deregister(self) -> None:
         """Drop the own row; for a planned stop."""
         self._write(self.own.name, None)
 
@@ -94,16 +94,16 @@
         known = tuple(
             peer
             for peer in every
-            if peer.name != self.own.name and peer.written_at > now - GONE_TERM
+            if peer.name != self.own.name and peer.written_at > now - PEER_EXPIRY_S
         )
         if len(known) != len(self.known):
             log.info("peers seen", count=len(known), before=len(self.known))
         self.known = known
         for peer in every:
-            if peer.written_at < now - DROP_TERM:
+            if peer.written_at < now - ROW_RETENTION_S:
                 self._write(peer.name, None)
         return True
 
-    def some(self, count: int) -> list[Peer]:
+    def sample(self, count: int) -> list[Peer]:
         """Return up to `count` of the others, drawn at random."""
         return self.rand.sample(self.known, min(count, len(self.known)))
--- a/src/mangosail/jobs/room.py
+++ b/src/mangosail/jobs/room.py
@@ -74,7 +74,7 @@
         if self.reservation and not self._stands(self.reservation, urgent=False):
             self.release()
         wanted = placing.work_of(request)
-        if self.placer.obstacle(wanted) is not None:
+        if self.placer.wait_reason(wanted) is not None:
             return False
         fitting = self.placer.candidates(wanted)
         if not fitting:
@@ -152,7 +152,7 @@
     def _sized(self, request: work_messages.Request) -> resources.Resources:
         """Return what the task is given: its kind may take more than it declared."""
         wanted = placing.work_of(request)
-        return self.placer.sizes.needs(placer.size_kind(wanted), wanted.needs)
+        return self.placer.sizes.needs(placer.size_key(wanted), wanted.needs)
 
     def _drop_entered(self) -> None:
         for owned in self.owned:
--- a/src/mangosail/ownership/monitoring.py
+++ b/src/mangosail/ownership/monitoring.py
@@ -73,7 +73,7 @@
             owned.ledger.within_capacity(), "ledger_within_capacity", worker=worker
         )
 
-    def on_silence(self, worker: str) -> None:
+    def on_unreachable(self, worker: str) -> None:
         """Send no new work to a worker that is out of reach."""
         owned = self.owned.get(worker)
         if owned is not None and owned.reachable:
--- a/src/mangosail/ownership/takeover.py
+++ b/src/mangosail/ownership/takeover.py
@@ -37,7 +37,7 @@
     """
     durable = [r.needs for r in reports or () if not r.idempotent]
     promised = sum(previous.promised().values(), resources.Resources())
-    budget = ledger.kept_at_lapse(
+    budget = ledger.kept_after_expiry(
         capacity - promised, sum(durable, resources.Resources())
     )
     return messages.Retention(
--- a/src/mangosail/placement/choice.py
+++ b/src/mangosail/placement/choice.py
@@ -50,7 +50,7 @@
     return max(shares)
 
 
-class Indifferent:
+class InterferenceUnaware:
     """Base of choosers that know nothing of harm: any worker suits them."""
 
     def suitable(
@@ -60,7 +60,7 @@
         return list(candidates)
 
 
-class LeastLoaded(Indifferent):
+class LeastLoaded(InterferenceUnaware):
     """Picks the worker with the smallest load; the first of equal ones by chance."""
 
     def __init__(self, seed: int) -> None:
@@ -73,7 +73,7 @@
         return min(candidates, key=lambda owned: (load(owned), self.random.random()))
 
 
-class TwoChoices(Indifferent):
+class TwoChoices(InterferenceUnaware):
     """Draws two workers and picks the less loaded one."""
 
     def __init__(self, seed: int) -> None:
@@ -86,7 +86,7 @@
         return min(self.random.sample(candidates, min(2, len(candidates))), key=load)
 
 
-class Random(Indifferent):
+class Random(InterferenceUnaware):
     """Picks any worker."""
 
     def __init__(self, seed: int) -> None:
--- a/src/mangosail/placement/ejection.py
+++ b/src/mangosail/placement/ejection.py
@@ -18,46 +18,46 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Failures in a row after which a worker is suspected.
-FAILURES = 5
+CONSECUTIVE_FAILURES = 5
 #: One in so many workers may be ejected at a time.
-EJECTED_ONE_IN = 3
+MAX_EJECTED_DIVISOR = 3
 #: Seconds from ejection to the first probe; each failed probe doubles it.
-PROBE_INTERVAL = 1.0
+PROBE_INTERVAL_S = 1.0
 #: Longest time in seconds between two probes.
-LONGEST_PROBE_INTERVAL = 30.0
+MAX_PROBE_INTERVAL_S = 30.0
 #: Probes that must succeed in a row for the worker to come back.
-PROBES = 2
+REQUIRED_PROBES = 2
 #: Workers on which a job must have failed, each doing other work well.
-POISON_WORKERS = 2
+MIN_POISON_WORKERS = 2
 #: Failures of a job that had no success at all.
-POISON_FAILURES = 3
+MIN_POISON_FAILURES = 3
 #: Jobs that are remembered.
-JOBS_KEPT = 10000
+MAX_JOBS = 10000
 #: Seconds for which a success speaks for a worker or a kind.
-SUCCESS_TERM = 60.0
+SUCCESS_WINDOW_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class WorkerRecord:
     """What is known of one worker; times are monotonic."""
 
-    succeeded: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_success: dict[str, float] = dataclasses.field(default_factory=dict)
     #: Kinds and jobs of the failures since the last success.
     failures: list[tuple[str, str]] = dataclasses.field(default_factory=list)
     ejected: bool = False
-    probe_at: float = 0.0
-    interval: float = PROBE_INTERVAL
-    probes: int = 0
+    next_probe_at: float = 0.0
+    probe_interval: float = PROBE_INTERVAL_S
+    probe_successes: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
     """Where a job's tasks failed, and how many succeeded anywhere."""
 
-    failed_on: collections.Counter[str] = dataclasses.field(
+    failures_by_worker: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    succeeded: int = 0
+    successes: int = 0
 
 
 class Ejection:
@@ -65,34 +65,34 @@
 
     def __init__(
         self,
-        names: cabc.Callable[[], list[str]],
+        worker_names: cabc.Callable[[], list[str]],
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
-        self.names = names
+        self.worker_names = worker_names
         self.clock = clock
         self.counters = counters
-        self.workers: dict[str, Standing] = {}
+        self.workers: dict[str, WorkerRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
 
     def observe(self, worker: str, kind: str, job: str, ok: bool) -> None:
         """Take in the end of a task; refused, lost and late ones count as failed."""
-        standing = self.workers.setdefault(worker, Standing())
-        record = self._record(job) if job else None
+        standing = self.workers.setdefault(worker, WorkerRecord())
+        record = self._job_record(job) if job else None
         if ok:
-            self._succeeded(worker, standing, kind)
+            self._on_success(worker, standing, kind)
             if record:
-                record.succeeded += 1
+                record.successes += 1
             return
         if record:
-            record.failed_on[worker] += 1
-        standing.failures = [*standing.failures[-FAILURES:], (kind, job)]
+            record.failures_by_worker[worker] += 1
+        standing.failures = [*standing.failures[-CONSECUTIVE_FAILURES:], (kind, job)]
         if standing.ejected:
-            self._probe_failed(standing)
-        elif self._guilty(worker, standing) and self._may_eject():
+            self._on_probe_failure(standing)
+        elif self._is_at_fault(worker, standing) and self._may_eject():
             self._eject(standing)
 
-    def ejected(self, worker: str) -> bool:
+    def is_ejected(self, worker: str) -> bool:
         """Tell whether `worker` gets nothing but probes."""
         standing = self.workers.get(worker)
         return standing is not None and standing.ejected
@@ -100,72 +100,72 @@
     def may_probe(self, worker: str) -> bool:
         """Tell whether a single task may be tried on an ejected worker."""
         standing = self.workers.get(worker)
-        return standing is not None and self.clock.monotonic() >= standing.probe_at
+        return standing is not None and self.clock.monotonic() >= standing.next_probe_at
 
-    def poisoned(self, job: str) -> str | None:
+    def poison_reason(self, job: str) -> str | None:
         """Return why `job` can't succeed anywhere, or None."""
         record = self.jobs.get(job)
-        if record is None or record.succeeded:
+        if record is None or record.successes:
             return None
-        if record.failed_on.total() < POISON_FAILURES:
+        if record.failures_by_worker.total() < MIN_POISON_FAILURES:
             return None
-        sound = [w for w in record.failed_on if self._does_well(w)]
-        if len(sound) < min(POISON_WORKERS, len(self.names())):
+        sound = [w for w in record.failures_by_worker if self._is_healthy(w)]
+        if len(sound) < min(MIN_POISON_WORKERS, len(self.worker_names())):
             return None
         return "fails_everywhere"
 
-    def _succeeded(self, worker: str, standing: Standing, kind: str) -> None:
-        standing.succeeded[kind] = self.clock.monotonic()
+    def _on_success(self, worker: str, standing: WorkerRecord, kind: str) -> None:
+        standing.last_success[kind] = self.clock.monotonic()
         standing.failures = []
         if not standing.ejected:
             return
-        standing.probes += 1
-        if standing.probes >= PROBES:
-            self.workers[worker] = Standing(succeeded=standing.succeeded)
+        standing.probe_successes += 1
+        if standing.probe_successes >= REQUIRED_PROBES:
+            self.workers[worker] = WorkerRecord(last_success=standing.last_success)
             self.counters.count("placement.readmitted")
 
-    def _guilty(self, worker: str, standing: Standing) -> bool:
-        if len(standing.failures) < FAILURES:
+    def _is_at_fault(self, worker: str, standing: WorkerRecord) -> bool:
+        if len(standing.failures) < CONSECUTIVE_FAILURES:
             return False
         return any(
-            self._done_elsewhere(worker, kind) and self.poisoned(job) is None
+            self._succeeds_elsewhere(worker, kind) and self.poison_reason(job) is None
             for kind, job in standing.failures
         )
 
-    def _done_elsewhere(self, worker: str, kind: str) -> bool:
+    def _succeeds_elsewhere(self, worker: str, kind: str) -> bool:
         now = self.clock.monotonic()
         return any(
-            now - standing.succeeded.get(kind, -SUCCESS_TERM) < SUCCESS_TERM
+            now - standing.last_success.get(kind, -SUCCESS_WINDOW_S) < SUCCESS_WINDOW_S
             for name, standing in self.workers.items()
             if name != worker
         )
 
-    def _does_well(self, worker: str) -> bool:
+    def _is_healthy(self, worker: str) -> bool:
         standing = self.workers[worker]
         now = self.clock.monotonic()
         return not standing.ejected and any(
-            now - at < SUCCESS_TERM for at in standing.succeeded.values()
+            now - at < SUCCESS_WINDOW_S for at in standing.last_success.values()
         )
 
     def _may_eject(self) -> bool:
-        names = self.names()
-        ejected = sum(self.ejected(name) for name in names)
-        limit = max(len(names) // EJECTED_ONE_IN, 1) if len(names) > 1 else 0
+        names = self.worker_names()
+        ejected = sum(self.is_ejected(name) for name in names)
+        limit = max(len(names) // MAX_EJECTED_DIVISOR, 1) if len(names) > 1 else 0
         if ejected >= limit:
             self.counters.count("placement.ejection_bounded")
         return ejected < limit
 
-    def _eject(self, standing: Standing) -> None:
+    def _eject(self, standing: WorkerRecord) -> None:
         standing.ejected = True
-        standing.probe_at = self.clock.monotonic() + standing.interval
+        standing.next_probe_at = self.clock.monotonic() + standing.probe_interval
         self.counters.count("placement.ejected")
 
-    def _probe_failed(self, standing: Standing) -> None:
-        standing.probes = 0
-        standing.interval = min(standing.interval * 2, LONGEST_PROBE_INTERVAL)
-        standing.probe_at = self.clock.monotonic() + standing.interval
+    def _on_probe_failure(self, standing: WorkerRecord) -> None:
+        standing.probe_successes = 0
+        standing.probe_interval = min(standing.probe_interval * 2, MAX_PROBE_INTERVAL_S)
+        standing.next_probe_at = self.clock.monotonic() + standing.probe_interval
 
-    def _record(self, job: str) -> JobRecord:
-        if job not in self.jobs and len(self.jobs) >= JOBS_KEPT:
+    def _job_record(self, job: str) -> JobRecord:
+        if job not in self.jobs and len(self.jobs) >= MAX_JOBS:
             self.jobs.pop(next(iter(self.jobs)))
         return self.jobs.setdefault(job, JobRecord())
--- a/src/mangosail/placement/fairness.py
+++ b/src/mangosail/placement/fairness.py
@@ -8,7 +8,7 @@
 from mangosail.settings import schema
 
 #: Seconds for which a team that found no room counts as waiting.
-WAITING_TERM = 2.0
+WAITING_TIMEOUT_S = 2.0
 
 
 class FairShare:
@@ -29,33 +29,35 @@
         self.usage = usage
         self.clock = clock
         #: Monotonic time until which each team counts as waiting.
-        self.waiting: dict[str, float] = {}
-        self.turns: dict[str, int] = {}
+        self.waiting_until: dict[str, float] = {}
+        self.last_turns: dict[str, int] = {}
 
-    def next(self, waiting_by_team: cabc.Mapping[str, int]) -> str | None:
+    def next_team(self, waiting_by_team: cabc.Mapping[str, int]) -> str | None:
         """Return the team whose work is placed next, None if none waits."""
         usage = self.usage()
         waiting = [team for team, count in waiting_by_team.items() if count]
         for team in waiting:
-            self.wants(team)
+            self.mark_waiting(team)
         if not waiting:
             return None
         team = min(
             waiting,
-            key=lambda t: (self.share(t, usage), self.turns.get(t, 0), t),
+            key=lambda t: (self.dominant_share(t, usage), self.last_turns.get(t, 0), t),
         )
-        self.turns[team] = max(self.turns.values(), default=0) + 1
+        self.last_turns[team] = max(self.last_turns.values(), default=0) + 1
         return team
 
-    def wants(self, team: str) -> None:
+    def mark_waiting(self, team: str) -> None:
         """Note that `team` has work that found no room."""
-        self.waiting[team] = self.clock.monotonic() + WAITING_TERM
+        self.waiting_until[team] = self.clock.monotonic() + WAITING_TIMEOUT_S
 
-    def share(self, team: str, usage: cabc.Mapping[str, usages.TeamUsage]) -> float:
+    def dominant_share(
+        self, team: str, usage: cabc.Mapping[str, usages.TeamUsage]
+    ) -> float:
         """Return the team's use as a share of its quota, by what is scarcest."""
-        return self._share(team, usage.get(team, usages.TeamUsage()))
+        return self._dominant_share(team, usage.get(team, usages.TeamUsage()))
 
-    def within(self, team: str, needs: resources.Resources) -> bool:
+    def may_start(self, team: str, needs: resources.Resources) -> bool:
         """Tell whether `team` may start work of `needs` now.
 
         Up to its quota it always may. Beyond it, it borrows what others leave,
@@ -63,15 +65,18 @@
         """
         usage = self.usage()
         added = usages.TeamUsage(needs.cpus, needs.accelerators)
-        if self._share(team, usage.get(team, usages.TeamUsage()) + added) <= 1.0 + 1e-9:
+        if (
+            self._dominant_share(team, usage.get(team, usages.TeamUsage()) + added)
+            <= 1.0 + 1e-9
+        ):
             return True
         now = self.clock.monotonic()
         return not any(
-            deadline > now and other != team and self.share(other, usage) < 1.0
-            for other, deadline in self.waiting.items()
+            deadline > now and other != team and self.dominant_share(other, usage) < 1.0
+            for other, deadline in self.waiting_until.items()
         )
 
-    def _share(self, team: str, used: usages.TeamUsage) -> float:
+    def _dominant_share(self, team: str, used: usages.TeamUsage) -> float:
         quota = self.quotas(team)
         if quota is None:
             return 0.0
--- a/src/mangosail/placement/placer.py
+++ b/src/mangosail/placement/placer.py
@@ -39,18 +39,18 @@
 log = logbook.Logger("placement")
 
 #: Slots of each worker that only latency-critical work may take.
-QUOTE_SLOTS = 2
+QUOTE_ONLY_SLOTS = 2
 #: Share of each worker's processors that only latency-critical work may take.
-QUOTE_CPU_SHARE = 0.125
+QUOTE_ONLY_CPU_SHARE = 0.125
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
+class Placement:
     """A reservation, with what shared the worker when it was made."""
 
     work: messages.Work
     owned: workers.OwnedWorker
-    around: latency.Surroundings
+    colocation: latency.Colocation
     #: Monotonic time at which it was made.
     placed_at: float
 
@@ -77,17 +77,17 @@
         self.latencies = latency.Latencies()
         self.admission = admission.Admission(self.latencies)
         self.residents = residents.Residents(owned)
-        self.chooser = self._chooser(policy, seed or random.getrandbits(32))
+        self.chooser = self._make_chooser(policy, seed or random.getrandbits(32))
         self.sizes = sizes.Sizes(capacities, counters)
         self.ejection = ejection.Ejection(
             lambda: [worker.name for worker in owned], clock, counters
         )
         self.usage = usages.Usage(owned, self.residents)
-        self.fair = fairness.FairShare(quotas, self.usage.total, clock)
+        self.fair_share = fairness.FairShare(quotas, self.usage.total, clock)
         #: Reservations that have not ended, by task id.
-        self.open: dict[str, Placed] = {}
+        self.active: dict[str, Placement] = {}
         #: Run times of tasks that their workers say have ended.
-        self.told_seconds: dict[str, float] = {}
+        self.reported_seconds: dict[str, float] = {}
         #: Wall time of the last measurement taken in from each worker.
         self.measured_at: dict[str, float] = {}
 
@@ -96,132 +96,132 @@
         work: messages.Work,
         deadline: float | None = None,
         avoid: frozenset[str] = frozenset(),
-    ) -> result.Result[Placed, errors.NotPlaced]:
+    ) -> result.Result[Placement, errors.NotPlaced]:
         """Reserve a place for `work`, or tell why there is none.
 
         `deadline` is the monotonic time until which a caller waits; the workers
         to `avoid` are those that have just failed the same work.
         """
-        final = self._final(work)
+        final = self._permanent_refusal(work)
         if final is not None:
             return self._refuse(final, None)
-        work = self._sized(work)
+        work = self._with_learned_size(work)
         if not self._within_quota(work):
-            return self._refuse(errors.Reason.QUOTA, self._come_back(work.team))
+            return self._refuse(errors.Reason.QUOTA, self._retry_after(work.team))
         candidates = [o for o in self.candidates(work) if o.name not in avoid]
         if not candidates:
-            return self._refuse(errors.Reason.NO_CAPACITY, self._come_back())
+            return self._refuse(errors.Reason.NO_CAPACITY, self._retry_after())
         owned = self._choose(candidates, work)
-        if deadline is not None and not self._in_time(work, owned, deadline):
-            return self._refuse(errors.Reason.DEADLINE, self._come_back())
+        if deadline is not None and not self._meets_deadline(work, owned, deadline):
+            return self._refuse(errors.Reason.DEADLINE, self._retry_after())
         return self._reserve(work, owned)
 
-    def obstacle(self, work: messages.Work) -> errors.NotPlaced | None:
+    def wait_reason(self, work: messages.Work) -> errors.NotPlaced | None:
         """Return why `work` has to wait, None if `place` would decide on it now.
 
         Work that can never run doesn't wait: `place` refuses it for good.
         """
-        if self._final(work) is not None:
+        if self._permanent_refusal(work) is not None:
             return None
-        work = self._sized(work)
+        work = self._with_learned_size(work)
         if not self._within_quota(work):
-            return errors.NotPlaced(errors.Reason.QUOTA, self._come_back(work.team))
+            return errors.NotPlaced(errors.Reason.QUOTA, self._retry_after(work.team))
         if self.candidates(work):
             return None
-        self.fair.wants(work.team)
-        return errors.NotPlaced(errors.Reason.NO_CAPACITY, self._come_back())
+        self.fair_share.mark_waiting(work.team)
+        return errors.NotPlaced(errors.Reason.NO_CAPACITY, self._retry_after())
 
     def candidates(self, work: messages.Work) -> list[workers.OwnedWorker]:
         """Return the workers that can take `work` now."""
         fitting = [
             owned
             for owned in self.owned.fitting(
-                work.needs, is_durable(work), batch_id(work), work.kind
+                work.needs, is_durable(work), batch_task_id(work), work.kind
             )
             if self._open_to(owned, work)
         ]
         return self.chooser.suitable(fitting, work)
 
-    def ended(self, task_id: str, ok: bool) -> None:
+    def finish(self, task_id: str, ok: bool) -> None:
         """Give the place back, and learn from how the work went.
 
         The run time that the worker told counts, else the time since the place
         was reserved. Refused, lost and late work is not `ok`.
         """
-        self.note(task_id, ok)
-        self.withdraw(task_id)
+        self.record_outcome(task_id, ok)
+        self.release(task_id)
 
-    def note(self, task_id: str, ok: bool) -> None:
+    def record_outcome(self, task_id: str, ok: bool) -> None:
         """Learn from how the work went, and keep the place reserved.
 
         Work whose answer was lost may run still.
         """
-        placed = self.open.get(task_id)
+        placed = self.active.get(task_id)
         if placed is None:
             return
-        told = self.told_seconds.get(task_id)
+        told = self.reported_seconds.get(task_id)
         work, worker = placed.work, placed.owned.name
-        self.ejection.observe(worker, work.kind, job_of(work), ok)
+        self.ejection.observe(worker, work.kind, job_key(work), ok)
         seconds = self.clock.monotonic() - placed.placed_at if told is None else told
         self._learn(placed, seconds, ok)
 
-    def late(self, task_id: str) -> None:
+    def record_timeout(self, task_id: str) -> None:
         """Learn that the work has not ended yet, and was given up."""
-        placed = self.open.get(task_id)
+        placed = self.active.get(task_id)
         if placed is not None:
             self._learn(placed, self.clock.monotonic() - placed.placed_at, ok=False)
 
-    def withdraw(self, task_id: str) -> Placed | None:
+    def release(self, task_id: str) -> Placement | None:
         """Give the place back without learning anything."""
-        self.told_seconds.pop(task_id, None)
-        placed = self.open.pop(task_id, None)
+        self.reported_seconds.pop(task_id, None)
+        placed = self.active.pop(task_id, None)
         if placed is None:
             return None
         placed.owned.ledger.release(task_id)
-        self.residents.leave(task_id)
+        self.residents.remove(task_id)
         return placed
 
     def on_snapshot(self, worker: str, snapshot: dispatch_messages.Snapshot) -> None:
         """Take in measured sizes, and tasks that an earlier owner started."""
         for report in snapshot.tasks:
             if report.state is not dispatch_messages.TaskState.RUNNING:
-                if report.task_id in self.open:
-                    self.told_seconds[report.task_id] = report.seconds
+                if report.task_id in self.active:
+                    self.reported_seconds[report.task_id] = report.seconds
                 continue
-            if report.task_id not in self.residents.works:
-                self.residents.enter(work_of(report))
+            if report.task_id not in self.residents.by_task_id:
+                self.residents.add(work_from_report(report))
         usage = snapshot.usage
         if usage.measured_at <= self.measured_at.get(worker, 0.0):
             return
         self.measured_at[worker] = usage.measured_at
         for task_id, measured in usage.tasks.items():
-            work = self.residents.works.get(task_id)
+            work = self.residents.by_task_id.get(task_id)
             if work is not None:
-                self.sizes.learn(size_kind(work), measured)
+                self.sizes.learn(size_key(work), measured)
 
-    def on_silence(self, worker: str) -> None:
+    def on_unreachable(self, worker: str) -> None:
         """Keep all places: what was started there may run still."""
 
-    def _final(self, work: messages.Work) -> errors.Reason | None:
+    def _permanent_refusal(self, work: messages.Work) -> errors.Reason | None:
         """Return why `work` can never run, or None."""
         if not self.sizes.fits_any(work.needs):
             return errors.Reason.TOO_LARGE
-        if work.job and self.ejection.poisoned(job_of(work)):
+        if work.job and self.ejection.poison_reason(job_key(work)):
             return errors.Reason.POISONED
         return None
 
-    def _sized(self, work: messages.Work) -> messages.Work:
-        needs = self.sizes.needs(size_kind(work), work.needs)
+    def _with_learned_size(self, work: messages.Work) -> messages.Work:
+        needs = self.sizes.needs(size_key(work), work.needs)
         return dataclasses.replace(work, needs=needs)
 
     def _within_quota(self, work: messages.Work) -> bool:
         # Class goes first: a quote is short and is not held back for batch.
         if work.work_class is messages.WorkClass.QUOTE:
             return True
-        return self.fair.within(work.team, work.needs)
+        return self.fair_share.may_start(work.team, work.needs)
 
     def _open_to(self, owned: workers.OwnedWorker, work: messages.Work) -> bool:
-        if self.ejection.ejected(owned.name):
+        if self.ejection.is_ejected(owned.name):
             # A probe may fail, so it is never work that must not run twice.
             probes = work.work_class is not messages.WorkClass.TASK
             idle = not owned.ledger.reserved
@@ -239,15 +239,15 @@
         self, candidates: list[workers.OwnedWorker], work: messages.Work
     ) -> workers.OwnedWorker:
         for owned in candidates:
-            if self.ejection.ejected(owned.name):
+            if self.ejection.is_ejected(owned.name):
                 return owned
         return self.chooser.choose(candidates, work)
 
-    def _in_time(
+    def _meets_deadline(
         self, work: messages.Work, owned: workers.OwnedWorker, deadline: float
     ) -> bool:
         now = self.clock.monotonic()
-        around = learned.around(owned, self.residents)
+        around = learned.colocation_on(owned, self.residents)
         predicted = self.latencies.predict(work.kind, around, now)
         admitted = self.admission.admits(work.kind, predicted, deadline, now)
         if not admitted:
@@ -256,29 +256,29 @@
             log.info(
                 "too late by prediction", task=work.task_id, worker=owned.name,
                 left=round(deadline - now, 3), predicted=round(predicted, 3),
-                alone=round(self.latencies.run_time(work.kind), 4),
-                factor=round(self.latencies.factor(owned.name, now), 2),
-                others=dict(around.others), load=round(around.load, 2),
+                alone=round(self.latencies.baseline(work.kind), 4),
+                factor=round(self.latencies.worker_factor(owned.name, now), 2),
+                others=dict(around.neighbours), load=round(around.load, 2),
             )  # fmt: skip
         return admitted
 
     def _reserve(
         self, work: messages.Work, owned: workers.OwnedWorker
-    ) -> result.Result[Placed, errors.NotPlaced]:
-        around = learned.around(owned, self.residents)
+    ) -> result.Result[Placement, errors.NotPlaced]:
+        around = learned.colocation_on(owned, self.residents)
         if not owned.ledger.reserve(work.task_id, work.needs, is_durable(work)):
-            return self._refuse(errors.Reason.NO_CAPACITY, self._come_back())
-        self.residents.enter(work)
-        placed = Placed(work, owned, around, self.clock.monotonic())
-        self.open[work.task_id] = placed
+            return self._refuse(errors.Reason.NO_CAPACITY, self._retry_after())
+        self.residents.add(work)
+        placed = Placement(work, owned, around, self.clock.monotonic())
+        self.active[work.task_id] = placed
         return result.Ok(placed)
 
-    def _learn(self, placed: Placed, seconds: float, ok: bool) -> None:
+    def _learn(self, placed: Placement, seconds: float, ok: bool) -> None:
         now = self.clock.monotonic()
-        before = placed.around.others
+        before = placed.colocation.neighbours
         after = collections.Counter(
             work.kind
-            for work in self.residents.on(placed.owned)
+            for work in self.residents.work_on(placed.owned)
             if work.task_id != placed.work.task_id
         )
         # Neighbours come and go while a task runs; the mean of both ends is
@@ -290,25 +290,25 @@
         teach = self.latencies.observe if ok else self.latencies.observe_loss
         teach(
             placed.work.kind,
-            dataclasses.replace(placed.around, others=others),
+            dataclasses.replace(placed.colocation, neighbours=others),
             seconds,
             now,
         )
 
-    def _come_back(self, team: str | None = None) -> float:
-        self._drop_lost()
+    def _retry_after(self, team: str | None = None) -> float:
+        self._release_lost()
         running = [
             (placed.work, placed.placed_at)
-            for placed in self.open.values()
+            for placed in self.active.values()
             if team is None or placed.work.team == team
         ]
-        return self.admission.come_back(running, self.clock.monotonic())
+        return self.admission.retry_after(running, self.clock.monotonic())
 
-    def _drop_lost(self) -> None:
+    def _release_lost(self) -> None:
         """Let go of places on workers that were lost with what ran there."""
-        for task_id, placed in list(self.open.items()):
+        for task_id, placed in list(self.active.items()):
             if self.owned.get(placed.owned.name) is not placed.owned:
-                self.withdraw(task_id)
+                self.release(task_id)
 
     def _refuse(
         self, reason: errors.Reason, retry_after: float | None
@@ -316,7 +316,7 @@
         self.counters.count(f"placement.refused.{reason.value}")
         return result.Err(errors.NotPlaced(reason, retry_after))
 
-    def _chooser(self, policy: choice.Policy, seed: int) -> choice.Chooser:
+    def _make_chooser(self, policy: choice.Policy, seed: int) -> choice.Chooser:
         if policy is choice.Policy.LEAST_LOADED:
             return choice.LeastLoaded(seed)
         if policy is choice.Policy.TWO_CHOICES:
@@ -335,9 +335,11 @@
     """
     capacity = owned.worker.capacity
     return resources.Resources(
-        cpus=max(min(capacity.cpus * QUOTE_CPU_SHARE, capacity.cpus - needs.cpus), 0.0),
-        slots=max(min(QUOTE_SLOTS, capacity.slots - needs.slots), 0),
-        connections=QUOTE_SLOTS,
+        cpus=max(
+            min(capacity.cpus * QUOTE_ONLY_CPU_SHARE, capacity.cpus - needs.cpus), 0.0
+        ),
+        slots=max(min(QUOTE_ONLY_SLOTS, capacity.slots - needs.slots), 0),
+        connections=QUOTE_ONLY_SLOTS,
     )
 
 
@@ -346,22 +348,22 @@
     return work.work_class is not messages.WorkClass.QUOTE
 
 
-def batch_id(work: messages.Work) -> str:
+def batch_task_id(work: messages.Work) -> str:
     """Return the id of a batch task, empty for other work."""
     return work.task_id if work.work_class is messages.WorkClass.BATCH else ""
 
 
-def size_kind(work: messages.Work) -> str:
+def size_key(work: messages.Work) -> str:
     """Return the key of learned sizes: one team's kinds don't size another's."""
     return f"{work.team}/{work.kind}"
 
 
-def job_of(work: messages.Work) -> str:
+def job_key(work: messages.Work) -> str:
     """Return the key of the work's job, empty if it is of none."""
     return f"{work.team}/{work.job}" if work.job else ""
 
 
-def work_of(report: dispatch_messages.Report) -> messages.Work:
+def work_from_report(report: dispatch_messages.Report) -> messages.Work:
     """Return a task that a worker tells of as placement sees it."""
     return messages.Work(
         report.task_id,
--- a/src/mangosail/placement/residents.py
+++ b/src/mangosail/placement/residents.py
@@ -6,7 +6,7 @@
 from mangosail.placement import messages, workers
 
 #: Remembered pieces of work after which those on no ledger are forgotten.
-PRUNE_ABOVE = 4096
+PRUNE_THRESHOLD = 4096
 
 
 class Residents:
@@ -18,27 +18,29 @@
 
     def __init__(self, owned: cabc.Iterable[workers.OwnedWorker]) -> None:
         self.owned = owned
-        self.works: dict[str, messages.Work] = {}
+        self.by_task_id: dict[str, messages.Work] = {}
 
-    def enter(self, work: messages.Work) -> None:
+    def add(self, work: messages.Work) -> None:
         """Remember `work` before or after it is entered in a ledger."""
-        if len(self.works) >= PRUNE_ABOVE:
+        if len(self.by_task_id) >= PRUNE_THRESHOLD:
             self._prune()
-        self.works[work.task_id] = work
+        self.by_task_id[work.task_id] = work
 
-    def leave(self, task_id: str) -> messages.Work | None:
+    def remove(self, task_id: str) -> messages.Work | None:
         """Forget a task and return what was known of it."""
-        return self.works.pop(task_id, None)
+        return self.by_task_id.pop(task_id, None)
 
-    def on(self, owned: workers.OwnedWorker) -> list[messages.Work]:
+    def work_on(self, owned: workers.OwnedWorker) -> list[messages.Work]:
         """Return the known work that the worker carries now."""
         reserved = owned.ledger.reserved
-        return [self.works[task] for task in reserved if task in self.works]
+        return [self.by_task_id[task] for task in reserved if task in self.by_task_id]
 
-    def kinds(self, owned: workers.OwnedWorker) -> collections.Counter[str]:
+    def kinds_on(self, owned: workers.OwnedWorker) -> collections.Counter[str]:
         """Return how many tasks of each kind run there."""
-        return collections.Counter(work.kind for work in self.on(owned))
+        return collections.Counter(work.kind for work in self.work_on(owned))
 
     def _prune(self) -> None:
         held = {task for owned in self.owned for task in owned.ledger.reserved}
-        self.works = {task: work for task, work in self.works.items() if task in held}
+        self.by_task_id = {
+            task: work for task, work in self.by_task_id.items() if task in held
+        }
--- a/src/mangosail/placement/sizes.py
+++ b/src/mangosail/placement/sizes.py
@@ -10,9 +10,9 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Share of the way to a larger measurement that one report moves a size.
-RISE = 0.5
+RISE_RATE = 0.5
 #: Share of the way to a smaller one; low, since a peak comes back.
-FALL = 0.01
+FALL_RATE = 0.01
 
 
 class Sizes:
@@ -36,8 +36,8 @@
 
     def learn(self, kind: str, measured: resources.Resources) -> None:
         """Take in what a worker measured of one running task of `kind`."""
-        move(self.cpus, kind, measured.cpus)
-        move(self.memory_gb, kind, measured.memory_gb)
+        update_size(self.cpus, kind, measured.cpus)
+        update_size(self.memory_gb, kind, measured.memory_gb)
 
     def fits_any(self, declared: resources.Resources) -> bool:
         """Tell whether a listed worker could ever carry `declared`.
@@ -69,11 +69,11 @@
         )
 
 
-def move(sizes: dict[str, float], kind: str, measured: float) -> None:
+def update_size(sizes: dict[str, float], kind: str, measured: float) -> None:
     """Move the size of `kind` towards `measured`: up fast, down slowly."""
     present = sizes.get(kind)
     if present is None:
         sizes[kind] = measured
         return
-    step = RISE if measured > present else FALL
+    step = RISE_RATE if measured > present else FALL_RATE
     sizes[kind] = present + step * (measured - present)
--- a/src/mangosail/placement/usage.py
+++ b/src/mangosail/placement/usage.py
@@ -28,24 +28,24 @@
     def __init__(
         self,
         owned: cabc.Iterable[workers.OwnedWorker],
-        present: residents.Residents,
+        resident_tasks: residents.Residents,
     ) -> None:
         self.owned = owned
-        self.present = present
+        self.residents = resident_tasks
         self.peers: cabc.Callable[[], cabc.Mapping[str, TeamUsage]] = dict
 
-    def own(self) -> dict[str, TeamUsage]:
+    def local(self) -> dict[str, TeamUsage]:
         """Return what each team has running on this instance's workers."""
         total: dict[str, TeamUsage] = {}
         for owned in self.owned:
-            for work in self.present.on(owned):
+            for work in self.residents.work_on(owned):
                 used = TeamUsage(work.needs.cpus, work.needs.accelerators)
                 total[work.team] = total.get(work.team, TeamUsage()) + used
         return total
 
     def total(self) -> dict[str, TeamUsage]:
         """Return what each team has running on all instances."""
-        total = self.own()
+        total = self.local()
         for team, used in self.peers().items():
             total[team] = total.get(team, TeamUsage()) + used
         return total
--- a/src/mangosail/placement/workers.py
+++ b/src/mangosail/placement/workers.py
@@ -33,7 +33,7 @@
         #: True while batch work is kept off to hold the tail of quotes.
         self.closed_to_batch = False
         #: Kinds of batch task that may come all the same: they slow no quotes.
-        self.harmless: cabc.Collection[str] = ()
+        self.harmless_kinds: cabc.Collection[str] = ()
         #: Id of the one batch task that may start here, or empty for any.
         self.reserved_for = ""
         #: False while the worker's reports don't come.
@@ -71,11 +71,11 @@
         """Return the cores that nothing has reserved."""
         return self.ledger.free().cpus
 
-    def open_to(self, batch: str, kind: str) -> bool:
+    def accepts_batch(self, task_id: str, kind: str) -> bool:
         """Tell whether the batch task `batch` of `kind` may be started here."""
         if self.reserved_for:
-            return self.reserved_for == batch
-        return not self.closed_to_batch or kind in self.harmless
+            return self.reserved_for == task_id
+        return not self.closed_to_batch or kind in self.harmless_kinds
 
 
 class Workers:
@@ -103,7 +103,7 @@
         self,
         needs: resources.Resources,
         durable: bool = True,
-        batch: str = "",
+        batch_task_id: str = "",
         kind: str = "",
     ) -> list[OwnedWorker]:
         """Return the workers on which `needs` can be started now.
@@ -115,7 +115,7 @@
             for owned in self
             if owned.accepts()
             and needs.fits_in(owned.ledger.free(durable))
-            and (not batch or owned.open_to(batch, kind))
+            and (not batch_task_id or owned.accepts_batch(batch_task_id, kind))
         ]
 
     def free(self) -> resources.Resources:
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -25,7 +25,7 @@
 
 #: Seconds that may go into reading the newest catalog for a peer: half of what the peer
 #: waits.
-PEER_REFRESH_TERM = relaying.ANSWER_TERM / 2
+PEER_REFRESH_TERM = relaying.ANSWER_TIMEOUT_S / 2
 #: Seconds after its arrival at which a request's caller is gone.
 CALLER_TERM = 3.0
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         catalog: catalogs.Catalogs,
-        jobs: job_service.Desk,
+        jobs: job_service.JobService,
         clock: clocks.Clock,
         counters: telemetry.Counters,
         relay: relaying.Relay | None = None,
@@ -50,7 +50,7 @@
         self.relay = relay
         #: Seconds that may go into reading the newest catalog. A peer takes silence for
         #: an open outcome, and asks this instance last from then on.
-        self.refresh_term = catalogs.REFRESH_TERM if relay else PEER_REFRESH_TERM
+        self.refresh_term = catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TERM
         self.clock = clock
         self.counters = counters
         self.methods: dict[str, Method] = {
@@ -88,7 +88,7 @@
             self.catalog.version,
             req.context.deadline,
         )
-        answer = relay.pass_on(request)
+        answer = relay.forward(request)
         if answer is None:
             log.info(
                 "refused", method=req.method, path=req.path, reason=resp.context.reason,
@@ -96,7 +96,7 @@
             )  # fmt: skip
             return
         if self._behind(answer):
-            self.catalog.doubt()
+            self.catalog.invalidate()
         resp.delete_header("Retry-After")
         if isinstance(answer, errors.Undecided):
             self._failed(resp, answer)
@@ -123,7 +123,7 @@
             self.refuse(resp, "no_catalog", COME_BACK)
             return
         least = peering.version_of(req.get_header(peering.LEAST_VERSION))
-        behind = self.catalog.doubted or self.catalog.superseded()
+        behind = self.catalog.invalidated or self.catalog.superseded()
         if behind or self.catalog.version < least:
             self.refuse(resp, "catalog_stale", COME_BACK)
             return
@@ -172,7 +172,7 @@
         if isinstance(job, result.Err):
             self._invalid(resp, job.err_value)
             return
-        done = self.desk.hand_in(job.ok_value)
+        done = self.desk.submit(job.ok_value)
         if isinstance(done, result.Err):
             self._failed(resp, done.err_value)
 
@@ -248,7 +248,7 @@
         """Say that nothing was done, and when to come back."""
         self.counters.count(f"ingress.refused.{reason}")
         resp.context.reason = reason
-        resp.context.away = reason in errors.AWAY
+        resp.context.away = reason in errors.LOCAL_REASONS
         resp.status = falcon.HTTP_SERVICE_UNAVAILABLE
         resp.text = codec.to_json({"title": reason, "retry_after": retry_after})
         headers.come_back(resp, retry_after)
--- a/src/mangosail/platform/peering.py
+++ b/src/mangosail/platform/peering.py
@@ -40,15 +40,15 @@
         headers = {
             "Host": request.host,
             "Content-Type": "application/json",
-            LEAST_VERSION: str(request.least_version),
+            LEAST_VERSION: str(request.min_version),
         }
         answer = self.callers.get(address, address).call(
             request.method,
             request.path,
             request.body,
             headers,
-            relaying.ANSWER_TERM,
-            longest=relaying.ANSWER_TERM,
+            relaying.ANSWER_TIMEOUT_S,
+            longest=relaying.ANSWER_TIMEOUT_S,
         )
         if isinstance(answer, result.Ok):
             return result.Ok(answer_of(answer.ok_value))
@@ -60,7 +60,7 @@
 def answer_of(reply: http_caller.Reply) -> relaying.Answer:
     """Return what a peer replied."""
     text = reply.body.decode(errors="replace")
-    refusal = refusal_of(text) if reply.status == relaying.REFUSED else None
+    refusal = refusal_of(text) if reply.status == relaying.REFUSED_STATUS else None
     return relaying.Answer(reply.status, text, version_of(reply.etag), refusal)
 
 
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -59,7 +59,7 @@
             settings.bounds.config_apply_ms / 1000,
             CLOSED_PREFIX,
         )
-        self.desk = job_service.Desk(
+        self.desk = job_service.JobService(
             self.store, self.catalog.stale, self.clock, self.counters
         )
         rand = random.Random(f"{settings.node_name}{os.getpid()}{self.clock.wall()}")
@@ -178,7 +178,7 @@
         if self.scheduler is not None:
             self.scheduler.stop()
         if self.settings.peer_address:
-            gevent.spawn(self.peers.leave)
+            gevent.spawn(self.peers.deregister)
         self.clock.sleep(NOTICE_TERM)
         self.front.close()
         while self.front.busy() and self.clock.elapsed() < deadline:
--- a/src/mangosail/work/adoption.py
+++ b/src/mangosail/work/adoption.py
@@ -114,7 +114,7 @@
             self.starts.clear_up(task)
         if task.left.ready() or task.task_id in owned.ledger.reserved:
             return
-        owned.ledger.enter(task.task_id, row.request.needs)
+        owned.ledger.add(task.task_id, row.request.needs)
 
     def resolve_orphan(self, held: claims.Held) -> claims.Held:
         """Return the row after moving it on if its worker will not tell.
--- a/src/mangosail/work/moves.py
+++ b/src/mangosail/work/moves.py
@@ -34,7 +34,7 @@
             return None
         task.avoided |= {task.owned.name}
         # The worker's failure is learned, as if the task had ended with it.
-        self.placer.ended(task.task_id, False)
+        self.placer.finish(task.task_id, False)
         placed = self.placer.place(placing.work_of(request), avoid=task.avoided)
         if isinstance(placed, result.Err):
             self.ctx.counters.count("work.not_moved")
--- a/src/mangosail/work/runner.py
+++ b/src/mangosail/work/runner.py
@@ -133,7 +133,7 @@
 
     def has_room(self, request: messages.Request) -> bool:
         """Tell whether `request` would be placed, or refused for good, now."""
-        return self.placer.obstacle(placing.work_of(request)) is None
+        return self.placer.wait_reason(placing.work_of(request)) is None
 
     def evict(
         self, task_id: str, reason: str
@@ -203,7 +203,7 @@
         self.adoption.scan_due()
         self.leases.renew_due()
 
-    def on_silence(self, worker: str) -> None:
+    def on_unreachable(self, worker: str) -> None:
         """Do nothing: work on a worker out of reach may go on there."""
 
     def _take_in(self, task: registry.Task, report: dispatch_messages.Report) -> None:
@@ -256,7 +256,7 @@
                 task = registry.Task(written.ok_value, owned, deadline)
                 self.ctx.registry.add(task)
         if isinstance(written, result.Err):
-            self.placer.withdraw(task_id)
+            self.placer.release(task_id)
             return self._unclaimed(request, written.err_value, deadline)
         self.ctx.spawn(self.starts.start, task)
         return result.Ok(self.waiting.for_task(task, deadline))
@@ -265,9 +265,9 @@
         """Give the place back, and have placement learn from a telling end."""
         task_id = messages.task_id_of(row.request)
         if row.state in TELLING:
-            self.placer.ended(task_id, row.state is messages.State.COMPLETED)
+            self.placer.finish(task_id, row.state is messages.State.COMPLETED)
         else:
-            self.placer.withdraw(task_id)
+            self.placer.release(task_id)
 
     def _claimed_row(
         self,
@@ -353,7 +353,7 @@
         self, request: messages.Request, deadline: float, forward: bool
     ) -> Submitted:
         """Look for an earlier outcome, then for a peer, then refuse."""
-        refused = self.placer.obstacle(placing.work_of(request)) or NO_ROOM
+        refused = self.placer.wait_reason(placing.work_of(request)) or NO_ROOM
         found = self.waiting.read(request.team, request.request_id)
         if isinstance(found, result.Err):
             return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -279,7 +279,7 @@
         context.store, "op//config", decoding.catalog_of, context.clock, counted
     )
     assert catalog.refresh()
-    jobs = job_service.Desk(context.store, catalog.stale, context.clock, counted)
+    jobs = job_service.JobService(context.store, catalog.stale, context.clock, counted)
     context.ingress = ingress.Ingress(catalog, jobs, context.clock, counted)
     context.readiness = ingress.Readiness(catalog)
     context.client = testing.TestClient(context.ingress.app)
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -40,7 +40,7 @@
     context.catalog = catalogs.Catalogs(
         context.store, CONFIG, decoding.catalog_of, clock, counted
     )
-    jobs = job_service.Desk(context.store, context.catalog.stale, clock, counted)
+    jobs = job_service.JobService(context.store, context.catalog.stale, clock, counted)
     #: Answers what peers pass on; the other one answers callers, and knows no peer.
     context.app = ingress.Ingress(context.catalog, jobs, clock, counted).app
     own = peers.Peer("a", "127.0.0.1:9")
--- a/tests/control/steps/control_steps.py
+++ b/tests/control/steps/control_steps.py
@@ -38,7 +38,7 @@
         owned.add(self.owned)
         self.settings = types.SimpleNamespace(by_team={})
         lease = types.SimpleNamespace(valid=lambda: True)
-        self.control = loop.Control(
+        self.control = loop.ControlLoop(
             owned, self.tails, self, self.settings, lease, self,
             counters.StatsdCounters(None, 0),
         )  # fmt: skip
@@ -82,11 +82,11 @@
         self.owned.usage = old[-1] if old else self.owned.usage
 
     def pass_seconds(self, seconds):
-        for _ in range(int(seconds / loop.INTERVAL)):
+        for _ in range(int(seconds / loop.INTERVAL_S)):
             for _ in range(5):
                 self.tails.observe("w", "t", 1.0, self.now, self.ratio())
             self.measure()
-            self.now += loop.INTERVAL
+            self.now += loop.INTERVAL_S
             self.control.step()
 
 
--- a/tests/intake/steps/intake_steps.py
+++ b/tests/intake/steps/intake_steps.py
@@ -19,7 +19,7 @@
 
 
 def new_desk(context):
-    return job_service.Desk(
+    return job_service.JobService(
         context.rows,
         lambda: context.away,
         context.clock,
@@ -109,13 +109,13 @@
 
 @when("the same job is handed in at another instance")
 def step_again(context):
-    context.answers.append(new_desk(context).hand_in(fakes.job(ID, fakes.step())))
+    context.answers.append(new_desk(context).submit(fakes.job(ID, fakes.step())))
 
 
 @when("continuous jobs of {cores:d} cores are handed in at {count:d} instances")
 def step_continuous(context, cores, count):
     context.answers = [
-        new_desk(context).hand_in(continuous(f"{number:016x}", cores))
+        new_desk(context).submit(continuous(f"{number:016x}", cores))
         for number in range(count)
     ]
 
@@ -123,7 +123,7 @@
 @when("a continuous job and takes {cores:d} cores is handed in twice")
 def step_continuous_twice(context, cores):
     context.answers = [
-        new_desk(context).hand_in(continuous(ID, cores)) for _ in range(2)
+        new_desk(context).submit(continuous(ID, cores)) for _ in range(2)
     ]
 
 
--- a/tests/intake/steps/relaying_steps.py
+++ b/tests/intake/steps/relaying_steps.py
@@ -32,8 +32,8 @@
         self.catalogs = catalogs.Catalogs(
             self.rows, CONFIG, lambda text: context_catalogs[text], clock, tally
         )
-        self.catalogs._use(catalog or catalog_of(1, "/q/"))
-        jobs = job_service.Desk(self.rows, lambda: False, clock, tally)
+        self.catalogs._install(catalog or catalog_of(1, "/q/"))
+        jobs = job_service.JobService(self.rows, lambda: False, clock, tally)
         self.relay = relay
         self.app = ingress.Ingress(self.catalogs, jobs, clock, tally, relay).app
         self.client = falcon.testing.TestClient(self.app, headers={"Host": HOST})
@@ -63,7 +63,7 @@
         context.asked.append(address)
         if send is not None:
             return send(request)
-        least = {peering.LEAST_VERSION: str(request.least_version)}
+        least = {peering.LEAST_VERSION: str(request.min_version)}
         answer = context.peer.ask(
             request.method, request.path, request.body, {"Host": HOST, **least}
         )
@@ -247,12 +247,12 @@
 
 @then("it knows the second alone")
 def step_knows(context):
-    assert [peer.name for peer in context.first.some(5)] == ["b"]
+    assert [peer.name for peer in context.first.sample(5)] == ["b"]
 
 
 @then("it knows no other")
 def step_knows_none(context):
-    assert context.first.some(5) == []
+    assert context.first.sample(5) == []
 
 
 @given("an instance without a configuration and a peer with one")
@@ -486,7 +486,7 @@
     context.least = []
 
     def pass_on(address, request):
-        context.least.append(request.least_version)
+        context.least.append(request.min_version)
         if len(context.least) > 1:
             return ANSWERS["newer"]
         # The other caller comes while this one waits.
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -33,7 +33,7 @@
 def see(context, others, worker, ms):
     now = context.placing.clock.monotonic()
     context.latencies.observe(
-        QUOTE, latency.Surroundings(worker, others, 0.3), ms / 1000, now
+        QUOTE, latency.Colocation(worker, others, 0.3), ms / 1000, now
     )
 
 
@@ -83,7 +83,7 @@
 @then('quotes are predicted to take less than {ms:d} ms on "{name}"')
 def predicted(context, ms, name):
     now = context.placing.clock.monotonic()
-    found = context.latencies.predict(QUOTE, latency.Surroundings(name, {}, 0.3), now)
+    found = context.latencies.predict(QUOTE, latency.Colocation(name, {}, 0.3), now)
     assert found < ms / 1000, found
 
 
@@ -97,7 +97,7 @@
         slow = 1 + sum(n * context.true[kind] for kind, n in others.items())
         seconds = 0.02 * slow * rng.uniform(0.9, 1.1)
         context.latencies.observe(
-            QUOTE, latency.Surroundings("w", others, 0.6), seconds, number / 50
+            QUOTE, latency.Colocation("w", others, 0.6), seconds, number / 50
         )
 
 
--- a/tests/placement/steps/decision_steps.py
+++ b/tests/placement/steps/decision_steps.py
@@ -137,7 +137,7 @@
 
 @when('"{team}" waits for room')
 def waits(context, team):
-    context.placing.placer.fair.wants(team)
+    context.placing.placer.fair.mark_waiting(team)
 
 
 @then('the next team of "{a}" and "{b}" is "{team}"')
@@ -151,7 +151,7 @@
         for owned in context.placing.workers:
             now = context.placing.clock.monotonic()
             context.placing.placer.latencies.observe(
-                "fuel.quote", latency.Surroundings(owned.name, {}, 0.1), ms / 1000, now
+                "fuel.quote", latency.Colocation(owned.name, {}, 0.1), ms / 1000, now
             )
     place_late(context, 10)
     context.placing.placer.ended(context.placed.ok_value.work.task_id, ok=False)
--- a/tests/placement/steps/random_steps.py
+++ b/tests/placement/steps/random_steps.py
@@ -48,7 +48,7 @@
         if self.running:
             task_id = sorted(self.running)[index % len(self.running)]
             del self.running[task_id]
-            self.placing.placer.ended(task_id, ok)
+            self.placing.placer.finish(task_id, ok)
 
     def learn(self, kind, cpus):
         measured = resources.Resources(cpus=cpus, memory_gb=2)
--- a/tests/support/crowded.py
+++ b/tests/support/crowded.py
@@ -48,7 +48,7 @@
 
     def run(self, worker, request):
         work = work_placing.work_of(request)
-        self.workers.get(worker).ledger.enter(work.task_id, work.needs)
+        self.workers.get(worker).ledger.add(work.task_id, work.needs)
         self.hands[worker].append(request)
 
     def find_no_room(self, request):
--- a/tests/support/placing.py
+++ b/tests/support/placing.py
@@ -50,5 +50,5 @@
     def put(self, worker, kind):
         """Have a batch task run on `worker`, whatever the placer thinks of it."""
         work = self.work(kind, messages.WorkClass.BATCH)
-        self.workers.get(worker).ledger.enter(work.task_id, work.needs)
-        self.placer.residents.enter(work)
+        self.workers.get(worker).ledger.add(work.task_id, work.needs)
+        self.placer.residents.add(work)
