--- a/src/mangosail/control/loop.py
+++ b/src/mangosail/control/loop.py
@@ -44,7 +44,7 @@
         self,
         owned: workers.Workers,
         tail_latencies: tails.Tails,
-        runner: work.Work,
+        runner: work.WorkRunner,
         settings: state.Settings,
         lease: session.Session,
         clock: clocks.Clock,
@@ -85,12 +85,12 @@
     def _start_control(self, owned: workers.OwnedWorker) -> controlled.ControlledWorker:
         """Start with a clean slate: nobody knows what an earlier owner throttled."""
         known = controlled.ControlledWorker(owned, self.clock.monotonic())
-        for request in work.batch_on(self.runner, owned.name):
+        for request in work.batch_tasks_on(self.runner, owned.name):
             self._send_throttle(known, request, 1.0)
         return known
 
     def _step(self, worker: controlled.ControlledWorker) -> None:
-        tasks = work.batch_on(self.runner, worker.owned.name)
+        tasks = work.batch_tasks_on(self.runner, worker.owned.name)
         worker.forget_ended({work_messages.task_id_of(request) for request in tasks})
         if self.memory.evict_if_short(worker.owned, tasks):
             return
@@ -120,7 +120,7 @@
             return
         worker.owned.closed_to_batch = False
         worker.over_target_since = None
-        tasks = work.batch_on(self.runner, worker.owned.name)
+        tasks = work.batch_tasks_on(self.runner, worker.owned.name)
         for request in tasks:
             if worker.share_of(work_messages.task_id_of(request)) < 1.0:
                 self._send_throttle(worker, request, 1.0)
@@ -151,7 +151,7 @@
                 self.counters.count("control.absolved")
 
     def _task_ids(self, worker: controlled.ControlledWorker) -> frozenset[str]:
-        tasks = work.batch_on(self.runner, worker.owned.name)
+        tasks = work.batch_tasks_on(self.runner, worker.owned.name)
         return frozenset(work_messages.task_id_of(request) for request in tasks)
 
     def _tighten(
--- a/src/mangosail/control/memory.py
+++ b/src/mangosail/control/memory.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(
-        self, runner: work.Work, clock: clocks.Clock, counters: telemetry.Counters
+        self, runner: work.WorkRunner, clock: clocks.Clock, counters: telemetry.Counters
     ) -> None:
         self.runner = runner
         self.clock = clock
--- a/src/mangosail/front/batch.py
+++ b/src/mangosail/front/batch.py
@@ -23,7 +23,7 @@
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Accept a job; accepted means that it is recorded."""
         identity = self.front.identify(req)
-        read = validation.read(identity.team, self.front.body(req))
+        read = validation.parse_job(identity.team, self.front.body(req))
         if isinstance(read, result.Err):
             self._refuse(resp, read.err_value)
             return
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -131,11 +131,11 @@
             self.lease,
             self.clock,
             self.counters,
-            forward=forwarding.Forwarding(
+            forwarder=forwarding.Forwarding(
                 self.peers, self.process.data_centre, self.clock, self.counters
             ),
             store=self.objects,
-            gone=self.listed.gone,
+            is_worker_gone=self.listed.gone,
         )
         self.following = monitoring.Following(
             self.workers,
@@ -162,7 +162,7 @@
         self.room = room.Room(
             self.workers, self.placer, self.runner, self.clock, self.counters
         )
-        self.offers = offers.Offers(
+        self.offers = offers.TaskOffers(
             self.peers, self.runner, self.room, self.lease, self.clock, self.counters
         )
         self.jobs = queue.JobQueue(
@@ -175,7 +175,7 @@
             self.clock,
             self.counters,
         )
-        self.runner.on_end.append(self.jobs.on_end)
+        self.runner.end_listeners.append(self.jobs.on_end)
         self.takeover = job_takeover.Takeover(
             self.table,
             self.jobs,
@@ -271,7 +271,7 @@
             work_methods.SUBMIT.served_by(self.runner.submit_for_peer),
             work_methods.CANCEL.served_by(self.runner.cancel_for_peer),
             settings_methods.SINCE.served_by(self.spread.tell),
-            job_methods.OFFER.served_by(self.offers.take),
+            job_methods.OFFER.served_by(self.offers.accept),
             job_methods.TASK_ENDED.served_by(self.jobs.task_ended),
         )
 
@@ -286,7 +286,7 @@
         gevent.spawn(self.jobs.place_forever)
         if self.process.control is process.Control.ON:
             loops.start(self.control.step, loop.INTERVAL_S)
-        loops.start(self.jobs.recording.record, recording.RECORD_INTERVAL)
+        loops.start(self.jobs.recorder.record, recording.RECORD_INTERVAL_S)
         loops.start(self.takeover.refresh, REFRESH_INTERVAL)
         gevent.spawn(self.counters.flush_forever)
         if self.keys is not None:
--- a/src/mangosail/jobs/attempts.py
+++ b/src/mangosail/jobs/attempts.py
@@ -11,24 +11,24 @@
 from mangosail.work import messages as work_messages
 
 #: Seconds until a task is tried again, doubled with each failure.
-BACKOFF = 0.25
+INITIAL_BACKOFF_S = 0.25
 #: Longest such time in seconds.
-LONGEST_BACKOFF = 30.0
+MAX_BACKOFF_S = 30.0
 
 
-class Ends:
+class AttemptHandler:
     """Settles attempts, wherever the news of their ends come from."""
 
     def __init__(
         self,
-        rows: records.Records,
-        places: room.Room,
+        job_records: records.Records,
+        task_room: room.Room,
         clock: clocks.Clock,
         counters: telemetry.Counters,
         seed: int = 0,
     ) -> None:
-        self.records = rows
-        self.room = places
+        self.records = job_records
+        self.room = task_room
         self.clock = clock
         self.counters = counters
         self.random = random.Random(seed)
@@ -39,68 +39,72 @@
         """Take in what became of a task's attempt; late news change nothing."""
         if request_id != job.request(index).request_id:
             return
-        if job.tally.standings[index] != tracker.Standing.RUNNING:
+        if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
             return
         if outcome == work_messages.State.COMPLETED:
-            self._end(job, index, tracker.Standing.COMPLETED)
+            self._finish(job, index, tracker.TaskStatus.COMPLETED)
         elif outcome == work_messages.State.CANCELLED:
-            self._end(job, index, tracker.Standing.CANCELLED)
+            self._finish(job, index, tracker.TaskStatus.CANCELLED)
         elif outcome == work_messages.State.FAILED:
-            self._failed(job, index, request_id)
+            self._handle_failure(job, index, request_id)
         elif outcome == work_messages.State.NOT_RUN:
             self.counters.count("jobs.retry.not_run")
-            job.tally.attempts[index] += 1
-            self.put_back(job, index, 1)
+            job.tracker.attempts[index] += 1
+            self.requeue(job, index, 1)
         elif outcome == work_messages.State.EVICTED:
             self.counters.count("jobs.retry.evicted")
-            self.put_back(job, index, 0)
+            self.requeue(job, index, 0)
         else:
-            job.follow(index, self.clock.monotonic())
+            job.schedule_poll(index, self.clock.monotonic())
 
-    def _end(self, job: held.HeldJob, index: int, at: tracker.Standing) -> None:
-        job.followed.pop(index, None)
-        job.tally.move(index, at)
-        self.counters.count(f"jobs.task.{at.name.lower()}")
+    def _finish(
+        self, job: held.HeldJob, index: int, status: tracker.TaskStatus
+    ) -> None:
+        job.polls.pop(index, None)
+        job.tracker.set_status(index, status)
+        self.counters.count(f"jobs.task.{status.name.lower()}")
 
-    def not_run(self, job: held.HeldJob, index: int, error: object) -> None:
+    def handle_not_started(self, job: held.HeldJob, index: int, error: object) -> None:
         """Let a task that was not started wait again, unless it never can be."""
         if isinstance(error, placement_errors.NotPlaced) and error.retry_after is None:
             job.stop(messages.State.FAILED, error.reason.value)
-            self._end(job, index, tracker.Standing.FAILED)
+            self._finish(job, index, tracker.TaskStatus.FAILED)
             return
         self.counters.count(f"jobs.retry.{type(error).__name__.lower()}")
-        self.put_back(job, index, 0)
+        self.requeue(job, index, 0)
 
-    def _failed(self, job: held.HeldJob, index: int, request_id: str) -> None:
+    def _handle_failure(self, job: held.HeldJob, index: int, request_id: str) -> None:
         """Try a task that failed again, unless that is of no use."""
-        row = self._row(job.job.team, request_id)
+        row = self._read_work_row(job.spec.team, request_id)
         if row is not None:
             job.reason = row.reason
-            job.failed_on.add(row.worker)
+            job.failed_workers.add(row.worker)
         job.failures += 1
         job.failed_attempts[index] += 1
-        if job.poisoned(self.room.workers()):
+        if job.poisoned(self.room.worker_count()):
             self.counters.count("jobs.poisoned")
             job.stop(messages.State.FAILED, f"fails everywhere: {job.reason}")
-        spent = job.failed_attempts[index] >= tracker.MOST_ATTEMPTS
+        spent = job.failed_attempts[index] >= tracker.MAX_FAILED_ATTEMPTS
         if spent or job.state is not messages.State.RUNNING:
-            self._end(job, index, tracker.Standing.FAILED)
+            self._finish(job, index, tracker.TaskStatus.FAILED)
             return
         self.counters.count("jobs.retry.failed")
-        job.tally.attempts[index] += 1
-        self.put_back(job, index, job.failed_attempts[index])
+        job.tracker.attempts[index] += 1
+        self.requeue(job, index, job.failed_attempts[index])
 
-    def put_back(self, job: held.HeldJob, index: int, failures: int) -> None:
+    def requeue(self, job: held.HeldJob, index: int, failures: int) -> None:
         """Let a task wait again, a while and by chance, so that none march in step."""
-        job.followed.pop(index, None)
+        job.polls.pop(index, None)
         if job.state is not messages.State.RUNNING:
-            self._end(job, index, tracker.Standing.CANCELLED)
+            self._finish(job, index, tracker.TaskStatus.CANCELLED)
             return
         wait = backoff(failures) * self.random.uniform(0.5, 1.0)
-        job.tally.put_back(index, self.clock.monotonic() + wait)
+        job.tracker.requeue(index, self.clock.monotonic() + wait)
 
-    def _row(self, team: str, request_id: str) -> work_messages.WorkRow | None:
-        found = self.records.work([work_messages.work_key(team, request_id)])
+    def _read_work_row(
+        self, team: str, request_id: str
+    ) -> work_messages.WorkRow | None:
+        found = self.records.find_work_rows([work_messages.work_key(team, request_id)])
         if isinstance(found, result.Err):
             return None
         return next(iter(found.ok_value), None)
@@ -108,4 +112,4 @@
 
 def backoff(failures: int) -> float:
     """Return the seconds to wait at most after so many failures."""
-    return min(BACKOFF * 2**failures, LONGEST_BACKOFF)
+    return min(INITIAL_BACKOFF_S * 2**failures, MAX_BACKOFF_S)
--- a/src/mangosail/jobs/cancellation.py
+++ b/src/mangosail/jobs/cancellation.py
@@ -9,28 +9,28 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Most cancellations in hand at a time.
-CANCEL_TASKS = 16
+MAX_CONCURRENT_CANCELLATIONS = 16
 #: Longest time in seconds until a cancellation that ended nothing is tried again.
-LONGEST_PAUSE = 2.0
+MAX_RETRY_INTERVAL_S = 2.0
 
 
-class Cancelling:
+class JobCanceller:
     """Cancels a few tasks at a time, without holding up others."""
 
     def __init__(
         self,
-        run: work.Work,
-        attempts: attempts.Ends,
+        runner: work.WorkRunner,
+        attempt_handler: attempts.AttemptHandler,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
-        self.run = run
-        self.ends = attempts
+        self.runner = runner
+        self.attempt_handler = attempt_handler
         self.clock = clock
         self.counters = counters
-        self.pool = gevent.pool.Pool(CANCEL_TASKS)
+        self.pool = gevent.pool.Pool(MAX_CONCURRENT_CANCELLATIONS)
 
-    def stop(self, job: held.HeldJob) -> None:
+    def cancel(self, job: held.HeldJob) -> None:
         """Let no waiting task of `job` start, and cancel what runs."""
         if job.state is not messages.State.RUNNING:
             return
@@ -39,13 +39,13 @@
 
     def cancel_running(self, job: held.HeldJob) -> None:
         """Begin to cancel what runs of `job`."""
-        gevent.spawn(self._cancel_each, job)
+        gevent.spawn(self._cancel_running_tasks, job)
 
-    def _cancel_each(self, job: held.HeldJob) -> None:
-        for index in list(job.tally.indices(tracker.Standing.RUNNING)):
+    def _cancel_running_tasks(self, job: held.HeldJob) -> None:
+        for index in list(job.tracker.with_status(tracker.TaskStatus.RUNNING)):
             self.pool.spawn(self._cancel_task, job, index, 0)
 
-    def _cancel_task(self, job: held.HeldJob, index: int, tries: int) -> None:
+    def _cancel_task(self, job: held.HeldJob, index: int, retries: int) -> None:
         """Cancel a task once, and come back to it if that has not ended it.
 
         An answer need not be an end: the order to stop may be lost on its way to the
@@ -54,18 +54,20 @@
         task ran. A task that can't be reached must not keep others waiting, so between
         the tries it has no place in the pool.
         """
-        if job.tally.standings[index] != tracker.Standing.RUNNING:
+        if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
             return
         request = job.request(index)
-        answer = self.run.cancel(request.team, request.request_id)
+        answer = self.runner.cancel(request.team, request.request_id)
         if isinstance(answer, result.Ok):
-            self.ends.settle(job, index, request.request_id, answer.ok_value.state)
-        if job.tally.standings[index] != tracker.Standing.RUNNING:
+            self.attempt_handler.settle(
+                job, index, request.request_id, answer.ok_value.state
+            )
+        if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
             return
         # Where it runs elsewhere, its row tells of the end.
-        job.follow(index, self.clock.monotonic())
+        job.schedule_poll(index, self.clock.monotonic())
         self.counters.count("jobs.retry.cancel")
-        pause = min(attempts.backoff(tries), LONGEST_PAUSE)
+        pause = min(attempts.backoff(retries), MAX_RETRY_INTERVAL_S)
         gevent.spawn_later(
-            pause, self.pool.spawn, self._cancel_task, job, index, tries + 1
+            pause, self.pool.spawn, self._cancel_task, job, index, retries + 1
         )
--- a/src/mangosail/jobs/messages.py
+++ b/src/mangosail/jobs/messages.py
@@ -125,7 +125,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Noted:
+class Acknowledgement:
     """The message was taken in."""
 
 
@@ -139,14 +139,14 @@
     return f"job-state/{data_centre}/{team}/{job_id}"
 
 
-def digest_of(job: Job) -> str:
+def job_digest(job: Job) -> str:
     """Return what tells two jobs under one id apart."""
     return hashlib.sha256(codec.to_json(job).encode()).hexdigest()
 
 
-def change(before: JobState, /, **changes: t.Any) -> JobState:
+def with_changes(state: JobState, /, **changes: t.Any) -> JobState:
     """Return `before` with some fields changed."""
-    return dataclasses.replace(before, **changes)
+    return dataclasses.replace(state, **changes)
 
 
 def progress_of(job: Job, state: JobState) -> Progress:
--- a/src/mangosail/jobs/ordering.py
+++ b/src/mangosail/jobs/ordering.py
@@ -14,7 +14,7 @@
 from mangosail.jobs import held as held_jobs
 
 
-class Order(t.Protocol):
+class OrderingPolicy(t.Protocol):
     """Arranges jobs by whose turn it is."""
 
     def arrange(
@@ -25,7 +25,7 @@
         """Return `held`, that whose task shall start first at the front."""
 
 
-class FairOrder:
+class FairSharePolicy:
     """Urgent jobs first, then teams by dominant share, then by age.
 
     A team's share is what it has running here over its quota, of the resource
@@ -42,16 +42,22 @@
         jobs = list(held)
         running: dict[str, resources.Resources] = {}
         for job in jobs:
-            used = running.get(job.job.team, resources.Resources())
-            running[job.job.team] = used + job.running_needs()
-        shares = {team: share(used, quotas(team)) for team, used in running.items()}
+            used = running.get(job.spec.team, resources.Resources())
+            running[job.spec.team] = used + job.running_needs()
+        shares = {
+            team: dominant_share(used, quotas(team)) for team, used in running.items()
+        }
         return sorted(
             jobs,
-            key=lambda job: (not job.job.urgent, shares[job.job.team], job.number),
+            key=lambda job: (
+                not job.spec.urgent,
+                shares[job.spec.team],
+                job.sequence_number,
+            ),
         )
 
 
-def share(used: resources.Resources, quota: resources.Resources) -> float:
+def dominant_share(used: resources.Resources, quota: resources.Resources) -> float:
     """Return the dominant share of `used` in `quota`."""
     shares = [used.cpus / max(quota.cpus, 1e-9)]
     if used.accelerators:
--- a/src/mangosail/jobs/queue.py
+++ b/src/mangosail/jobs/queue.py
@@ -33,19 +33,19 @@
 log = logbook.Logger("jobs")
 
 #: Seconds between attempts to place waiting tasks while things change.
-PLACE_INTERVAL = 0.05
+PLACE_INTERVAL_S = 0.05
 #: Seconds between them while nothing does. Each attempt looks at every held job,
 #: so that a few dozen that wait cost more than all else if tried all the time.
-QUIET_INTERVAL = 0.25
+IDLE_PLACE_INTERVAL_S = 0.25
 #: Seconds that one task of a job may take until it is looked at again.
-TASK_PATIENCE = 3600.0
+TASK_TIMEOUT_S = 3600.0
 #: Seconds in which a peer that was offered a task claims it, or never will.
-FOLLOW_GRACE = 10.0
+OFFER_CLAIM_TIMEOUT_S = 10.0
 #: The same for an urgent task, which may not wait for slow peers: one that claims it
 #: later finds that another has, or is found to have it; it starts once.
-URGENT_GRACE = 0.5
+URGENT_OFFER_CLAIM_TIMEOUT_S = 0.5
 #: Attempts at a cancellation while the holder writes at the same time.
-CANCEL_ATTEMPTS = 5
+MAX_CANCEL_ATTEMPTS = 5
 
 
 class JobQueue:
@@ -53,32 +53,38 @@
 
     def __init__(
         self,
-        rows: records.Records,
-        run: work.Work,
-        places: room.Room,
-        peers: offers.Offers,
+        job_records: records.Records,
+        runner: work.WorkRunner,
+        task_room: room.Room,
+        task_offers: offers.TaskOffers,
         lease: session.Session,
         quotas: cabc.Callable[[str], resources.Resources],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        arrangement: ordering.Order | None = None,
+        policy: ordering.OrderingPolicy | None = None,
         seed: int = 0,
     ) -> None:
-        self.records = rows
-        self.run = run
-        self.room = places
-        self.peers = peers
+        self.records = job_records
+        self.runner = runner
+        self.room = task_room
+        self.offers = task_offers
         self.lease = lease
         self.quotas = quotas
         self.clock = clock
         self.counters = counters
-        self.order = arrangement or ordering.FairOrder()
+        self.ordering = policy or ordering.FairSharePolicy()
         self.jobs: dict[str, held.HeldJob] = {}
-        self.ends = attempts.Ends(rows, places, clock, counters, seed)
-        self.cancelling = cancellation.Cancelling(run, self.ends, clock, counters)
-        followed = polling.Following(rows, self.ends, clock, counters)
-        self.recording = recording.Recording(
-            self.jobs, rows, followed, self.cancelling, lease, counters
+        self.attempt_handler = attempts.AttemptHandler(
+            job_records, task_room, clock, counters, seed
+        )
+        self.canceller = cancellation.JobCanceller(
+            runner, self.attempt_handler, clock, counters
+        )
+        followed = polling.TaskPoller(
+            job_records, self.attempt_handler, clock, counters
+        )
+        self.recorder = recording.JobRecorder(
+            self.jobs, job_records, followed, self.canceller, lease, counters
         )
         #: Set when a task may fit that did not: work ended, or a job came.
         self.changed = gevent.event.Event()
@@ -89,7 +95,7 @@
         """Record `job` durably and queue it; True tells that it is new."""
         own = self.lease.row
         state = messages.JobState(job.team, job.job_id, own.instance, own.incarnation)
-        row = messages.JobRow(job, messages.digest_of(job), own.data_centre)
+        row = messages.JobRow(job, messages.job_digest(job), own.data_centre)
         created = self.records.create(row, state)
         if isinstance(created, result.Err):
             reason = type(created.err_value).__name__.lower()
@@ -110,7 +116,7 @@
         """Return how far a job has come, whoever holds it."""
         own = self.jobs.get(messages.job_key(team, job_id))
         if own is not None:
-            return result.Ok(messages.progress_of(own.job, own.next_state()))
+            return result.Ok(messages.progress_of(own.spec, own.next_state()))
         return self.records.find(team, job_id).map(self._progress)
 
     def page(
@@ -131,42 +137,44 @@
 
         Another holder finds the cancellation when it next records its state.
         """
-        for _ in range(CANCEL_ATTEMPTS):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             found = self.records.find(team, job_id)
             if isinstance(found, result.Err):
                 return found
             present = found.ok_value
             if present.state.state is not messages.State.RUNNING:
                 return result.Ok(self._progress(present))
-            state = messages.change(present.state, state=messages.State.CANCELLING)
+            state = messages.with_changes(
+                present.state, state=messages.State.CANCELLING
+            )
             written = self.records.write(present, state)
             if isinstance(written, result.Ok):
-                return result.Ok(self._cancelled(written.ok_value))
+                return result.Ok(self._apply_cancellation(written.ok_value))
             if isinstance(written.err_value, platform_errors.Unavailable):
-                return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+                return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
             # The holder wrote its progress in between, or the answer was lost.
             self.counters.count("jobs.retry.cancel_conflict")
-        return result.Err(errors.Undecided(outcomes.ASK_AGAIN))
+        return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
 
-    def _cancelled(self, found: records.Found) -> messages.Progress:
+    def _apply_cancellation(self, found: records.StoredJob) -> messages.Progress:
         self.counters.count("jobs.cancelled")
         own = self.jobs.get(records.keys_of(found.row)[0])
         if own is not None:
-            own.found = found
-            self.cancelling.stop(own)
+            own.stored = found
+            self.canceller.cancel(own)
         return self._progress(found)
 
     def waiting(self) -> int:
         """Return how many tasks of held jobs have not been started."""
-        waiting = tracker.Standing.WAITING
-        return sum(job.tally.counts[waiting] for job in self.jobs.values())
+        waiting = tracker.TaskStatus.WAITING
+        return sum(job.tracker.counts[waiting] for job in self.jobs.values())
 
     def hold(self, job: held.HeldJob) -> None:
         """See to a job from now on."""
-        self.jobs[messages.job_key(job.job.team, job.job.job_id)] = job
+        self.jobs[messages.job_key(job.spec.team, job.spec.job_id)] = job
         self.changed.set()
         if job.state is messages.State.CANCELLING:
-            self.cancelling.cancel_running(job)
+            self.canceller.cancel_running(job)
 
     def place_forever(self) -> None:
         """Place waiting tasks again and again."""
@@ -178,8 +186,8 @@
                 # A fault with one job must not stop the others for good.
                 self.counters.count("jobs.place_failed")
                 log.exception("place failed")
-            self.clock.sleep(PLACE_INTERVAL)
-            self.changed.wait(QUIET_INTERVAL - PLACE_INTERVAL)
+            self.clock.sleep(PLACE_INTERVAL_S)
+            self.changed.wait(IDLE_PLACE_INTERVAL_S - PLACE_INTERVAL_S)
 
     def place(self) -> None:
         """Start waiting tasks while one of them fits somewhere."""
@@ -190,8 +198,8 @@
     def _place_one(self) -> bool:
         """Start the first task in order that fits, and tell whether one did."""
         now = self.clock.monotonic()
-        for job in self.order.arrange(self.jobs.values(), self.quotas):
-            index = job.tally.next(now)
+        for job in self.ordering.arrange(self.jobs.values(), self.quotas):
+            index = job.tracker.next_index(now)
             if index is None:
                 continue
             if self._place_task(job, index):
@@ -205,13 +213,13 @@
     def _place_task(self, job: held.HeldJob, index: int) -> bool:
         request = job.request(index)
         if self.room.fits(request):
-            job.tally.begin(index)
-            self.room.started(request, job.job.urgent)
+            job.tracker.mark_started(index)
+            self.room.add_pending(request, job.spec.urgent)
             gevent.spawn(self._run, job, index, request)
             return True
-        if not self.peers.offer(request, job.job.urgent):
+        if not self.offers.offer(request, job.spec.urgent):
             return False
-        self._taken_by_peer(job, index, request)
+        self._mark_offered(job, index, request)
         return True
 
     def _make_room(self, job: held.HeldJob, index: int, blocked_since: float) -> bool:
@@ -220,33 +228,37 @@
         This instance may have no workers, or none that can be cleared.
         """
         request = job.request(index)
-        if self.room.make(request, job.job.urgent, blocked_since):
+        if self.room.make_room(request, job.spec.urgent, blocked_since):
             return False
-        if not job.job.urgent or not self.peers.clear(request):
+        if not job.spec.urgent or not self.offers.request_room(request):
             return False
-        self._taken_by_peer(job, index, request)
+        self._mark_offered(job, index, request)
         return True
 
-    def _taken_by_peer(
+    def _mark_offered(
         self, job: held.HeldJob, index: int, request: work_messages.Request
     ) -> None:
         self.room.forget(request)
-        job.tally.begin(index)
+        job.tracker.mark_started(index)
         job.blocked_since = None
-        grace = URGENT_GRACE if job.job.urgent else FOLLOW_GRACE
-        job.follow(index, self.clock.monotonic(), grace)
+        grace = (
+            URGENT_OFFER_CLAIM_TIMEOUT_S if job.spec.urgent else OFFER_CLAIM_TIMEOUT_S
+        )
+        job.schedule_poll(index, self.clock.monotonic(), grace)
 
     def _run(
         self, job: held.HeldJob, index: int, request: work_messages.Request
     ) -> None:
-        answer = self.run.submit(
-            request, self.clock.monotonic() + TASK_PATIENCE, forward=False
+        answer = self.runner.submit(
+            request, self.clock.monotonic() + TASK_TIMEOUT_S, forward=False
         )
         self.room.forget(request)
         if isinstance(answer, result.Err):
-            self.ends.not_run(job, index, answer.err_value)
+            self.attempt_handler.handle_not_started(job, index, answer.err_value)
             return
-        self.ends.settle(job, index, request.request_id, answer.ok_value.state)
+        self.attempt_handler.settle(
+            job, index, request.request_id, answer.ok_value.state
+        )
 
     def on_end(
         self, outcome: work_messages.Outcome, row: work_messages.WorkRow
@@ -255,23 +267,25 @@
         self.changed.set()
         request = row.request
         job = self.jobs.get(messages.job_key(request.team, request.job))
-        task = tracker.task_of(job.job, request.request_id) if job else None
+        task = tracker.parse_request_id(job.spec, request.request_id) if job else None
         if job is not None and task is not None:
-            self.ends.settle(job, task[0], request.request_id, outcome.state)
+            self.attempt_handler.settle(job, task[0], request.request_id, outcome.state)
 
-    def task_ended(self, message: messages.TaskEnded) -> messages.Noted:
+    def task_ended(self, message: messages.TaskEnded) -> messages.Acknowledgement:
         """Take in what a peer tells of a task that it took on."""
         key = messages.job_key(message.team, message.job_id)
         job = self.jobs.get(key)
-        task = tracker.task_of(job.job, message.request_id) if job else None
+        task = tracker.parse_request_id(job.spec, message.request_id) if job else None
         if job is None or task is None:
-            return messages.Noted()
+            return messages.Acknowledgement()
         if message.outcome:
-            self.ends.settle(job, task[0], message.request_id, message.outcome)
+            self.attempt_handler.settle(
+                job, task[0], message.request_id, message.outcome
+            )
         elif job.request(task[0]).request_id == message.request_id:
             self.counters.count("jobs.retry.offer_failed")
-            self.ends.put_back(job, task[0], 0)
-        return messages.Noted()
+            self.attempt_handler.requeue(job, task[0], 0)
+        return messages.Acknowledgement()
 
-    def _progress(self, found: records.Found) -> messages.Progress:
+    def _progress(self, found: records.StoredJob) -> messages.Progress:
         return messages.progress_of(found.row.job, found.state)
--- a/src/mangosail/jobs/records.py
+++ b/src/mangosail/jobs/records.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class StoredJob:
     """A job as the table has it; `version` is that of its state's row."""
 
     row: messages.JobRow
@@ -29,7 +29,7 @@
 
     def create(
         self, row: messages.JobRow, state: messages.JobState
-    ) -> result.Result[Found, errors.SubmitError]:
+    ) -> result.Result[StoredJob, errors.SubmitError]:
         """Record a job, or find that the same one is recorded already."""
         job = row.job
         keys = keys_of(row)
@@ -42,27 +42,29 @@
         )
         committed = self.rows.commit(transaction)
         if isinstance(committed, result.Ok):
-            return result.Ok(Found(row, state, committed.ok_value))
+            return result.Ok(StoredJob(row, state, committed.ok_value))
         if isinstance(committed.err_value, platform_errors.Unavailable):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         found = self.find(job.team, job.job_id)
         if isinstance(found, result.Err):
             # Absent is no proof: the write may still be on its way.
-            return result.Err(errors.Undecided(outcomes.ASK_AGAIN))
+            return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
         if found.ok_value.row.digest != row.digest:
             return result.Err(errors.Conflict(job.job_id))
         return found
 
-    def find(self, team: str, job_id: str) -> result.Result[Found, errors.ReadError]:
+    def find(
+        self, team: str, job_id: str
+    ) -> result.Result[StoredJob, errors.ReadError]:
         """Return a job of `team`."""
         key = messages.job_key(team, job_id)
         read = self.rows.read([key])
         if isinstance(read, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         if key not in read.ok_value:
             return result.Err(errors.UnknownJob(job_id))
         row = codec.from_json(read.ok_value[key].value, messages.JobRow)
-        states = self.states([row])
+        states = self.find_states([row])
         if isinstance(states, result.Err):
             return states
         if states.ok_value:
@@ -72,52 +74,52 @@
 
     def page(
         self, team: str, after: str, limit: int
-    ) -> result.Result[list[Found], errors.StoreUnavailable]:
+    ) -> result.Result[list[StoredJob], errors.StoreUnavailable]:
         """Return at most `limit` jobs of `team` by id, past the id `after`."""
         prefix = messages.job_key(team, "")
         scanned = self.rows.scan(prefix, prefix + after if after else "", limit)
         if isinstance(scanned, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         rows = [codec.from_json(r.value, messages.JobRow) for r in scanned.ok_value]
-        return self.states(rows)
+        return self.find_states(rows)
 
-    def states(
+    def find_states(
         self, rows: list[messages.JobRow]
-    ) -> result.Result[list[Found], errors.StoreUnavailable]:
+    ) -> result.Result[list[StoredJob], errors.StoreUnavailable]:
         """Return the jobs of `rows` with their states; one just ended is left out."""
         keys = [keys_of(row)[1] for row in rows if row.final is None]
         present: dict[str, table.Row] = {}
         if keys:
             read = self.rows.read(keys)
             if isinstance(read, result.Err):
-                return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+                return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
             present = read.ok_value
-        found: list[Found] = []
+        found: list[StoredJob] = []
         for row in rows:
             if row.final is not None:
-                found.append(Found(row, row.final, table.ABSENT))
+                found.append(StoredJob(row, row.final, table.ABSENT))
                 continue
             state = present.get(keys_of(row)[1])
             if state is not None:
                 decoded = codec.from_json(state.value, messages.JobState)
-                found.append(Found(row, decoded, state.version))
+                found.append(StoredJob(row, decoded, state.version))
         return result.Ok(found)
 
-    def work(
+    def find_work_rows(
         self, keys: list[str]
     ) -> result.Result[list[work_messages.WorkRow], errors.StoreUnavailable]:
         """Return the rows of those pieces of work under `keys` that exist."""
         read = self.rows.read(keys)
         if isinstance(read, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         rows = read.ok_value.values()
         return result.Ok(
             [codec.from_json(row.value, work_messages.WorkRow) for row in rows]
         )
 
     def write(
-        self, found: Found, state: messages.JobState
-    ) -> result.Result[Found, platform_errors.CommitError]:
+        self, found: StoredJob, state: messages.JobState
+    ) -> result.Result[StoredJob, platform_errors.CommitError]:
         """Replace the state of a running job."""
         key = keys_of(found.row)[1]
         transaction = table.Transaction(
@@ -125,11 +127,11 @@
             writes=(table.Write(key, codec.to_json(state)),),
         )
         committed = self.rows.commit(transaction)
-        return committed.map(lambda version: Found(found.row, state, version))
+        return committed.map(lambda version: StoredJob(found.row, state, version))
 
-    def end(
-        self, found: Found, state: messages.JobState
-    ) -> result.Result[Found, platform_errors.CommitError]:
+    def write_end(
+        self, found: StoredJob, state: messages.JobState
+    ) -> result.Result[StoredJob, platform_errors.CommitError]:
         """Record the end of a job, and take it off the running ones."""
         row = dataclasses.replace(found.row, final=state)
         job_key, state_key = keys_of(row)
@@ -141,7 +143,7 @@
             ),
         )
         committed = self.rows.commit(transaction)
-        return committed.map(lambda _: Found(row, state, table.ABSENT))
+        return committed.map(lambda _: StoredJob(row, state, table.ABSENT))
 
 
 def keys_of(row: messages.JobRow) -> tuple[str, str]:
--- a/src/mangosail/jobs/room.py
+++ b/src/mangosail/jobs/room.py
@@ -18,10 +18,10 @@
 log = logbook.Logger("jobs")
 
 #: Seconds for which smaller tasks may pass one that finds no room.
-RESERVE_AFTER = 3.0
+RESERVE_AFTER_S = 3.0
 #: Seconds for which a worker is kept. A task that waits asks again four times a
 #: second; a round that waits for silent peers takes a few seconds.
-KEPT_TERM = 5.0
+RESERVATION_TERM_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,14 +45,14 @@
     def __init__(
         self,
         owned: placed.Workers,
-        place: placer.Placer,
-        run: work.Work,
+        task_placer: placer.Placer,
+        runner: work.WorkRunner,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
         self.owned = owned
-        self.placer = place
-        self.run = run
+        self.placer = task_placer
+        self.runner = runner
         self.clock = clock
         self.counters = counters
         self.reservation: Reservation | None = None
@@ -65,29 +65,29 @@
         #: Task ids of batch tasks whose eviction is under way.
         self.evicting: set[str] = set()
 
-    def workers(self) -> int:
+    def worker_count(self) -> int:
         """Return how many workers there are to try."""
         return sum(owned.accepts() for owned in self.owned)
 
     def fits(self, request: work_messages.Request) -> bool:
         """Tell whether a batch task can be started here now."""
-        if self.reservation and not self._stands(self.reservation, urgent=False):
-            self.release()
-        wanted = placing.work_of(request)
+        if self.reservation and not self._still_valid(self.reservation, urgent=False):
+            self.cancel_reservation()
+        wanted = placing.placement_work(request)
         if self.placer.wait_reason(wanted) is not None:
             return False
         fitting = self.placer.candidates(wanted)
         if not fitting:
             # It can never run; its start is refused with the reason.
             return True
-        self._drop_entered()
+        self._drop_placed()
         free = {owned.name: owned.ledger.free() for owned in fitting}
         for needs in self.pending.values():
             name = max(free, key=lambda each: free[each].cpus)
             free[name] = free[name] - needs
         return any(request.needs.fits_in(left) for left in free.values())
 
-    def started(self, request: work_messages.Request, urgent: bool) -> None:
+    def add_pending(self, request: work_messages.Request, urgent: bool) -> None:
         """Note that a task is on its way to a worker."""
         task_id = work_messages.task_id_of(request)
         self.pending[task_id] = request.needs
@@ -100,16 +100,16 @@
         self.urgent.discard(task_id)
         self.pending.pop(task_id, None)
         if self.reservation and self.reservation.task_id == task_id:
-            self.release()
+            self.cancel_reservation()
 
-    def release(self) -> None:
+    def cancel_reservation(self) -> None:
         """Open the worker that is kept to all again."""
         kept, self.reservation = self.reservation, None
         owned = self.owned.get(kept.worker) if kept else None
         if owned is not None:
             owned.reserved_for = ""
 
-    def make(
+    def make_room(
         self, request: work_messages.Request, urgent: bool, blocked_since: float
     ) -> bool:
         """Keep a worker for a task that found no room, if it is its turn.
@@ -120,60 +120,71 @@
         is not kept for a task that waits no longer.
         """
         now = self.clock.monotonic()
-        if not urgent and now < blocked_since + RESERVE_AFTER:
+        if not urgent and now < blocked_since + RESERVE_AFTER_S:
             return False
         task_id = work_messages.task_id_of(request)
         kept = self.reservation
-        if kept is not None and self._stands(kept, urgent):
+        if kept is not None and self._still_valid(kept, urgent):
             if kept.task_id != task_id:
                 # Its turn comes in a moment, if the other one is about to start.
                 return bool(self.evicting) or kept.task_id in self.pending
             if not urgent:
-                self.reservation = dataclasses.replace(kept, deadline=now + KEPT_TERM)
+                self.reservation = dataclasses.replace(
+                    kept, deadline=now + RESERVATION_TERM_S
+                )
                 return False
-        needs = self._sized(request)
-        owned = self._best(task_id, needs, urgent)
+        needs = self._effective_needs(request)
+        owned = self._best_worker(task_id, needs, urgent)
         if owned is None:
-            self.release()
+            self.cancel_reservation()
             return False
-        self._keep(owned, Reservation(owned.name, task_id, urgent, now + KEPT_TERM))
-        return urgent and self._clear(owned, needs)
+        self._reserve(
+            owned, Reservation(owned.name, task_id, urgent, now + RESERVATION_TERM_S)
+        )
+        return urgent and self._evict_for(owned, needs)
 
-    def _keep(self, owned: placed.OwnedWorker, wanted: Reservation) -> None:
+    def _reserve(self, owned: placed.OwnedWorker, reservation: Reservation) -> None:
         kept = self.reservation
-        if kept is None or (kept.worker, kept.task_id) != (owned.name, wanted.task_id):
-            self.release()
-            urgency = "urgent" if wanted.urgent else "big"
+        if kept is None or (kept.worker, kept.task_id) != (
+            owned.name,
+            reservation.task_id,
+        ):
+            self.cancel_reservation()
+            urgency = "urgent" if reservation.urgent else "big"
             self.counters.count(f"jobs.reserved.{urgency}")
-            log.info("worker kept", worker=owned.name, task=wanted.task_id, why=urgency)
-        self.reservation = wanted
-        owned.reserved_for = wanted.task_id
+            log.info(
+                "worker kept", worker=owned.name, task=reservation.task_id, why=urgency
+            )
+        self.reservation = reservation
+        owned.reserved_for = reservation.task_id
 
-    def _sized(self, request: work_messages.Request) -> resources.Resources:
+    def _effective_needs(self, request: work_messages.Request) -> resources.Resources:
         """Return what the task is given: its kind may take more than it declared."""
-        wanted = placing.work_of(request)
+        wanted = placing.placement_work(request)
         return self.placer.sizes.needs(placer.size_key(wanted), wanted.needs)
 
-    def _drop_entered(self) -> None:
+    def _drop_placed(self) -> None:
         for owned in self.owned:
             for task_id in self.pending.keys() & owned.ledger.reserved.keys():
                 del self.pending[task_id]
 
-    def _stands(self, kept: Reservation, urgent: bool) -> bool:
-        if urgent and not kept.urgent:
+    def _still_valid(self, reservation: Reservation, urgent: bool) -> bool:
+        if urgent and not reservation.urgent:
             return False
-        if self.clock.monotonic() >= kept.deadline or self._entered(kept.task_id):
+        if self.clock.monotonic() >= reservation.deadline or self._is_placed(
+            reservation.task_id
+        ):
             return False
-        owned = self.owned.get(kept.worker)
+        owned = self.owned.get(reservation.worker)
         if owned is None or not owned.accepts():
             return False
-        return kept.urgent or not owned.closed_to_batch
+        return reservation.urgent or not owned.closed_to_batch
 
-    def _entered(self, task_id: str) -> bool:
+    def _is_placed(self, task_id: str) -> bool:
         """Tell whether a task has its place; while it runs, others have their turn."""
         return any(task_id in owned.ledger.reserved for owned in self.owned)
 
-    def _best(
+    def _best_worker(
         self, task_id: str, needs: resources.Resources, urgent: bool
     ) -> placed.OwnedWorker | None:
         """Return the worker that is closest to having room for `needs`.
@@ -190,9 +201,9 @@
         ]
         if not able:
             return None
-        return min(able, key=lambda owned: self._distance(owned, task_id, needs))
+        return min(able, key=lambda owned: self._eviction_cost(owned, task_id, needs))
 
-    def _distance(
+    def _eviction_cost(
         self, owned: placed.OwnedWorker, task_id: str, needs: resources.Resources
     ) -> tuple[bool, bool, int, float]:
         victims, enough = self._victims(owned, needs)
@@ -209,7 +220,7 @@
         reserved = owned.ledger.reserved
         free = owned.ledger.free()
         lower: list[str] = []
-        for request in work.batch_on(self.run, owned.name):
+        for request in work.batch_tasks_on(self.runner, owned.name):
             task_id = work_messages.task_id_of(request)
             if task_id not in reserved or task_id in self.urgent:
                 continue
@@ -225,7 +236,7 @@
             victims.append(task_id)
         return victims, needs.fits_in(free)
 
-    def _clear(self, owned: placed.OwnedWorker, needs: resources.Resources) -> bool:
+    def _evict_for(self, owned: placed.OwnedWorker, needs: resources.Resources) -> bool:
         """Evict what is in the way of `needs`, unless it would not be enough."""
         victims, enough = self._victims(owned, needs)
         if not enough:
@@ -239,7 +250,7 @@
 
     def _evict(self, task_id: str) -> None:
         try:
-            evicted = self.run.evict(task_id, "urgent")
+            evicted = self.runner.evict(task_id, "urgent")
         finally:
             self.evicting.discard(task_id)
         if isinstance(evicted, result.Err):
--- a/src/mangosail/jobs/takeover.py
+++ b/src/mangosail/jobs/takeover.py
@@ -16,7 +16,7 @@
 log = logbook.Logger("jobs")
 
 #: Seconds between scans of all running jobs while no session has ended.
-SCAN_INTERVAL = 15.0
+SCAN_INTERVAL_S = 15.0
 
 
 class Takeover:
@@ -30,27 +30,27 @@
         self,
         rows: table.Table,
         jobs: queue.JobQueue,
-        seen: session_observer.Sightings,
+        sessions: session_observer.Sightings,
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
         self.jobs = jobs
-        self.seen = seen
+        self.sessions = sessions
         self.lease = lease
         self.clock = clock
         self.counters = counters
-        self.scan_deadline = 0.0
-        self.known: set[str] = set()
+        self.next_scan_at = 0.0
+        self.known_holders: set[str] = set()
 
     def refresh(self) -> None:
         """Scan the running jobs if a session came or went, or it is time."""
         # Not the live ones: a session lapses a little before it is ended, and
         # only then are its jobs free to be taken.
-        present = self.seen.holding()
+        present = self.sessions.holding()
         now = self.clock.monotonic()
-        if present == self.known and now < self.scan_deadline:
+        if present == self.known_holders and now < self.next_scan_at:
             return
         if not self.lease.valid():
             return
@@ -58,15 +58,15 @@
         found = table.scan_all(self.rows, f"{prefix}/")
         if isinstance(found, result.Err):
             return
-        self.known = present
-        self.scan_deadline = now + SCAN_INTERVAL
+        self.known_holders = present
+        self.next_scan_at = now + SCAN_INTERVAL_S
         for row in found.ok_value:
             state = codec.from_json(row.value, messages.JobState)
-            if self._ours_to_take(state) and not self._take(state):
+            if self._should_take_over(state) and not self._take_over(state):
                 # Not all was taken, so the next round scans again.
-                self.scan_deadline = now
+                self.next_scan_at = now
 
-    def _ours_to_take(self, state: messages.JobState) -> bool:
+    def _should_take_over(self, state: messages.JobState) -> bool:
         own = self.lease.row
         key = messages.job_key(state.team, state.job_id)
         if key in self.jobs.jobs:
@@ -74,13 +74,13 @@
         if state.incarnation == own.incarnation:
             # Ours, by a write whose answer was lost.
             return True
-        if self.seen.holds(state.holder, state.incarnation):
+        if self.sessions.holds(state.holder, state.incarnation):
             return False
-        live = [row.instance for row in self.seen.live()]
+        live = [row.instance for row in self.sessions.live()]
         best = max(live, key=lambda name: shares.score(key, name), default="")
         return best == own.instance
 
-    def _take(self, state: messages.JobState) -> bool:
+    def _take_over(self, state: messages.JobState) -> bool:
         """Become a job's holder, and tell whether that is settled."""
         found = self.jobs.records.find(state.team, state.job_id)
         if isinstance(found, result.Err):
@@ -89,7 +89,7 @@
         before = found.ok_value
         if before.row.final or before.state.incarnation != state.incarnation:
             return True
-        taken = messages.change(
+        taken = messages.with_changes(
             before.state, holder=own.instance, incarnation=own.incarnation
         )
         written = self.jobs.records.write(before, taken)
@@ -106,7 +106,7 @@
 
     def _rebuild(self, job: held.HeldJob) -> bool:
         """Learn from the rows of a job's tasks where each of them stands."""
-        prefix = work_messages.work_key(job.job.team, f"{job.job.job_id}.")
+        prefix = work_messages.work_key(job.spec.team, f"{job.spec.job_id}.")
         found = table.scan_all(self.rows, prefix)
         if isinstance(found, result.Err):
             return False
@@ -114,20 +114,22 @@
             codec.from_json(row.value, work_messages.WorkRow) for row in found.ok_value
         ]
         for index, (attempt, row) in last_attempts(job, rows).items():
-            job.tally.attempts[index] = attempt
-            self._enter(job, index, row.state)
+            job.tracker.attempts[index] = attempt
+            self._restore_task(job, index, row.state)
         if job.state is not messages.State.RUNNING:
-            job.tally.cancel_waiting()
+            job.tracker.cancel_waiting()
         return True
 
-    def _enter(self, job: held.HeldJob, index: int, state: work_messages.State) -> None:
+    def _restore_task(
+        self, job: held.HeldJob, index: int, state: work_messages.State
+    ) -> None:
         """Enter a task whose last attempt is in `state`."""
-        job.tally.move(index, tracker.Standing.RUNNING)
+        job.tracker.set_status(index, tracker.TaskStatus.RUNNING)
         if state is work_messages.State.COMPLETED:
-            job.tally.move(index, tracker.Standing.COMPLETED)
+            job.tracker.set_status(index, tracker.TaskStatus.COMPLETED)
             return
         # Those with an end or an eviction are settled at the next reading.
-        job.follow(index, self.clock.monotonic())
+        job.schedule_poll(index, self.clock.monotonic())
         if state is work_messages.State.FAILED:
             # Counted again when it is settled.
             job.failed_attempts[index] -= 1
@@ -139,8 +141,8 @@
     """Return the last attempt of each task and its row; count those that failed."""
     last: dict[int, tuple[int, work_messages.WorkRow]] = {}
     for row in rows:
-        task = tracker.task_of(job.job, row.request.request_id)
-        if task is None or row.request.job != job.job.job_id:
+        task = tracker.parse_request_id(job.spec, row.request.request_id)
+        if task is None or row.request.job != job.spec.job_id:
             continue
         index, attempt = task
         if row.state is work_messages.State.FAILED:
--- a/src/mangosail/jobs/validation.py
+++ b/src/mangosail/jobs/validation.py
@@ -17,17 +17,19 @@
 from mangosail.jobs import errors, messages
 
 #: Most tasks that one job may have.
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 #: Largest body in bytes of JSON; each of the tasks' rows carries it.
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 #: Job ids have no dots: a dot parts a job's id from its task's index.
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,99}")
-KIND = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
+JOB_ID_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,99}")
+KIND_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
 #: The resources of which a task may need nothing.
-OPTIONAL = ("memory_gb", "accelerators", "slots", "connections")
+OPTIONAL_RESOURCES = ("memory_gb", "accelerators", "slots", "connections")
 
 
-def read(team: str, declared: t.Any) -> result.Result[messages.Job, errors.Malformed]:
+def parse_job(
+    team: str, declared: t.Any
+) -> result.Result[messages.Job, errors.Malformed]:
     """Return the job that `declared`, decoded JSON, holds."""
     if not isinstance(declared, dict):
         return malformed("job", declared, "an object")
@@ -35,19 +37,19 @@
     for name in declared:
         if name not in known:
             return malformed(str(name), declared[name], f"one of {sorted(known)}")
-    for name, kind in (("job_id", NAME), ("kind", KIND)):
+    for name, kind in (("job_id", JOB_ID_PATTERN), ("kind", KIND_PATTERN)):
         value = declared.get(name)
         if not isinstance(value, str) or not kind.fullmatch(value):
             return malformed(name, value, f"text that matches {kind.pattern}")
     tasks = declared.get("tasks")
-    if type(tasks) is not int or not 1 <= tasks <= MOST_TASKS:
-        return malformed("tasks", tasks, f"an integer from 1 to {MOST_TASKS}")
+    if type(tasks) is not int or not 1 <= tasks <= MAX_TASKS:
+        return malformed("tasks", tasks, f"an integer from 1 to {MAX_TASKS}")
     size = len(codec.to_json(declared.get("body")).encode())
-    if size > BODY_LIMIT:
-        return malformed("body", f"{size} bytes", f"at most {BODY_LIMIT} bytes")
+    if size > MAX_BODY_BYTES:
+        return malformed("body", f"{size} bytes", f"at most {MAX_BODY_BYTES} bytes")
     if type(declared.get("urgent", False)) is not bool:
         return malformed("urgent", declared["urgent"], "true or false")
-    needs = _read_needs(declared.get("needs"))
+    needs = _parse_needs(declared.get("needs"))
     if isinstance(needs, result.Err):
         return needs
     return result.Ok(
@@ -83,12 +85,12 @@
     return result.Err(errors.TooLarge("needs", needs, expected))
 
 
-def _read_needs(
+def _parse_needs(
     declared: t.Any,
 ) -> result.Result[resources.Resources, errors.Malformed]:
     if not isinstance(declared, dict):
         return malformed("needs", declared, "an object with cpus and memory_gb")
-    known = ("cpus", *OPTIONAL)
+    known = ("cpus", *OPTIONAL_RESOURCES)
     for name in declared:
         if name not in known:
             return malformed(f"needs.{name}", declared[name], f"one of {known}")
@@ -98,7 +100,7 @@
         return malformed("needs", declared, "numbers, whole ones for counts")
     if not needs.cpus > 0:
         return malformed("needs.cpus", declared.get("cpus"), "a number above 0")
-    for name in OPTIONAL:
+    for name in OPTIONAL_RESOURCES:
         if not getattr(needs, name) >= 0:
             return malformed(f"needs.{name}", declared[name], "0 or more")
     # A task takes one slot of its worker, whatever was declared.
--- a/src/mangosail/jobs/work.py
+++ b/src/mangosail/jobs/work.py
@@ -9,7 +9,7 @@
 from mangosail.work import runner
 
 
-class Work(t.Protocol):
+class WorkRunner(t.Protocol):
     """Durable work as `work.runner.Runner` does it. Deadlines are monotonic."""
 
     def submit(
@@ -30,11 +30,11 @@
     ) -> result.Result[work_messages.Outcome, t.Any]:
         """Checkpoint a restartable task, stop it, and let it be resumed."""
 
-    def on_worker(self, worker: str) -> cabc.Sequence[work_messages.Request]:
+    def requests_on_worker(self, worker: str) -> cabc.Sequence[work_messages.Request]:
         """Return the work in hand on an own worker."""
 
 
-def batch_on(run: Work, worker: str) -> list[work_messages.Request]:
+def batch_tasks_on(runner: WorkRunner, worker: str) -> list[work_messages.Request]:
     """Return the batch tasks on a worker, which may be throttled and evicted.
 
     Releases, verifications and production orders belong to no job and can't
@@ -42,6 +42,6 @@
     """
     return [
         request
-        for request in run.on_worker(worker)
+        for request in runner.requests_on_worker(worker)
         if request.restartable and request.job
     ]
--- a/src/mangosail/work/adoption.py
+++ b/src/mangosail/work/adoption.py
@@ -31,11 +31,11 @@
 log = logbook.Logger("work")
 
 #: Seconds between two scans of what is placed on a worker.
-SCAN_INTERVAL = 60.0
+SCAN_INTERVAL_S = 60.0
 #: Seconds between the scans that follow the taking of a worker.
-EARLY_SCAN_INTERVAL = 10.0
+EARLY_SCAN_INTERVAL_S = 10.0
 #: How many of these there are.
-EARLY_SCANS = 6
+EARLY_SCAN_COUNT = 6
 
 
 class Adoption:
@@ -44,43 +44,47 @@
     def __init__(
         self,
         ctx: context.Context,
-        start: starts.Starts,
-        end: transitions.Ends,
-        lease: leases.Leases,
+        task_starts: starts.Starts,
+        task_transitions: transitions.TaskTransitions,
+        task_leases: leases.Leases,
     ) -> None:
         self.ctx = ctx
-        self.starts = start
-        self.ends = end
-        self.leases = lease
+        self.starts = task_starts
+        self.transitions = task_transitions
+        self.leases = task_leases
         #: Monotonic time of each worker's next scan.
-        self.scan_at: dict[str, float] = {}
+        self.next_scan_at: dict[str, float] = {}
         #: Scans of each worker since it was taken.
-        self.scans: dict[str, int] = {}
+        self.scan_counts: dict[str, int] = {}
 
     def scan_due(self) -> None:
         """Scan the owned workers whose time has come."""
         now = self.ctx.clock.monotonic()
         owned = {worker.name: worker for worker in self.ctx.owned}
-        self.scan_at = {n: at for n, at in self.scan_at.items() if n in owned}
-        self.scans = {n: count for n, count in self.scans.items() if n in owned}
+        self.next_scan_at = {n: at for n, at in self.next_scan_at.items() if n in owned}
+        self.scan_counts = {
+            n: count for n, count in self.scan_counts.items() if n in owned
+        }
         for name, worker in owned.items():
-            if worker.ready and self.scan_at.get(name, 0.0) <= now:
+            if worker.ready and self.next_scan_at.get(name, 0.0) <= now:
                 self._schedule(name, now)
                 self.ctx.spawn(self.scan, worker)
 
     def _schedule(self, name: str, now: float) -> None:
         """Set the time of a worker's next scan."""
-        count = self.scans.get(name, 0) + 1
-        self.scans[name] = count
-        early = count <= EARLY_SCANS
-        self.scan_at[name] = now + (EARLY_SCAN_INTERVAL if early else SCAN_INTERVAL)
+        count = self.scan_counts.get(name, 0) + 1
+        self.scan_counts[name] = count
+        early = count <= EARLY_SCAN_COUNT
+        self.next_scan_at[name] = now + (
+            EARLY_SCAN_INTERVAL_S if early else SCAN_INTERVAL_S
+        )
 
     def scan(self, owned: workers.OwnedWorker) -> None:
         """Take on what is placed on `owned` and not in hand."""
-        found = self.ctx.claims.placed(owned.name, self.ctx.registry.__contains__)
+        found = self.ctx.claims.placed_on(owned.name, self.ctx.registry.__contains__)
         if isinstance(found, result.Err):
             self.ctx.counters.count("work.retry.adoption_scan")
-            self.scan_at.pop(owned.name, None)
+            self.next_scan_at.pop(owned.name, None)
             return
         for held in found.ok_value:
             task_id = messages.task_id_of(held.row.request)
@@ -88,18 +92,18 @@
             if claimed and task_id not in self.ctx.registry:
                 self.adopt(held, owned)
 
-    def adopt(self, held: claims.Held, owned: workers.OwnedWorker) -> None:
+    def adopt(self, stored: claims.StoredRow, owned: workers.OwnedWorker) -> None:
         """Become the holder of `held`, then ask the worker about it."""
-        if held.row.worker != owned.name or not self.ctx.may_act(owned):
+        if stored.row.worker != owned.name or not self.ctx.may_act(owned):
             return
         mine = self.ctx.lease.row
-        row = claims.stamped(
+        row = claims.with_new_attempt(
             dataclasses.replace(
-                held.row, holder=mine.instance, incarnation=mine.incarnation
+                stored.row, holder=mine.instance, incarnation=mine.incarnation
             )
         )
         with self.ctx.registry.claim(messages.task_id_of(row.request)):
-            written = self.ctx.claims.write(row, held.version)
+            written = self.ctx.claims.write(row, stored.version)
             if isinstance(written, result.Err):
                 self.ctx.counters.count("work.retry.adoption_write")
                 return
@@ -111,28 +115,28 @@
         self.ctx.counters.count("work.adopted")
         log.info("task adopted", task=task.task_id, worker=owned.name)
         with task.lock:
-            self.starts.clear_up(task)
-        if task.left.ready() or task.task_id in owned.ledger.reserved:
+            self.starts.resolve_start(task)
+        if task.removed.ready() or task.task_id in owned.ledger.reserved:
             return
         owned.ledger.add(task.task_id, row.request.needs)
 
-    def resolve_orphan(self, held: claims.Held) -> claims.Held:
+    def resolve_orphan(self, stored: claims.StoredRow) -> claims.StoredRow:
         """Return the row after moving it on if its worker will not tell.
 
         A worker that the platform calls gone answers nobody, and it may have no
         owner left; so whoever is asked about the work settles it.
         """
-        row = held.row
-        if row.state is not messages.State.CLAIMED or not self._over(row):
-            return held
-        moved = claims.stamped(outcomes.worker_gone(row))
-        written = self.ctx.claims.write(moved, held.version)
+        row = stored.row
+        if row.state is not messages.State.CLAIMED or not self._is_lost(row):
+            return stored
+        moved = claims.with_new_attempt(outcomes.worker_lost_row(row))
+        written = self.ctx.claims.write(moved, stored.version)
         if isinstance(written, result.Err):
-            return held
+            return stored
         self.ctx.counters.count("work.worker_lost")
         return written.ok_value
 
-    def _over(self, row: messages.WorkRow) -> bool:
-        if self.ctx.gone(row.worker):
+    def _is_lost(self, row: messages.WorkRow) -> bool:
+        if self.ctx.is_worker_gone(row.worker):
             return True
-        return row.request.restartable and self.leases.over(row)
+        return row.request.restartable and self.leases.has_expired(row)
--- a/src/mangosail/work/cancellations.py
+++ b/src/mangosail/work/cancellations.py
@@ -25,7 +25,7 @@
 )
 
 #: The reason that cancelled work carries.
-CANCELLED = "cancelled"
+CANCELLED_REASON = "cancelled"
 
 CancelError = errors.StoreUnavailable | errors.Undecided
 
@@ -34,11 +34,14 @@
     """Cancels work that this instance has in hand, or that nobody has."""
 
     def __init__(
-        self, ctx: context.Context, start: starts.Starts, end: transitions.Ends
+        self,
+        ctx: context.Context,
+        task_starts: starts.Starts,
+        task_transitions: transitions.TaskTransitions,
     ) -> None:
         self.ctx = ctx
-        self.starts = start
-        self.ends = end
+        self.starts = task_starts
+        self.transitions = task_transitions
 
     def cancel_task(self, task: registry.Task) -> None:
         """Stop a task in hand for good, unless it has ended.
@@ -49,9 +52,9 @@
         """
         task.cancelling = True
         with task.lock:
-            if task.pending is not None:
-                self.ends.write_pending(task)
-            if task.left.ready() or task.pending is not None:
+            if task.pending_row is not None:
+                self.transitions.write_pending(task)
+            if task.removed.ready() or task.pending_row is not None:
                 return
             if not self.ctx.may_act(task.owned):
                 return
@@ -62,30 +65,34 @@
                 self.ctx.counters.count("work.cancel_in_doubt")
                 task.in_doubt = True
                 return
-            self._record(task, voided.ok_value)
+            self._apply_report(task, voided.ok_value)
 
     def cancel_row(
-        self, team: str, request_id: str, held: claims.Held | None
+        self, team: str, request_id: str, stored: claims.StoredRow | None
     ) -> result.Result[messages.Outcome, CancelError]:
         """Cancel work that runs nowhere: never claimed, or evicted."""
-        row = held.row if held else unclaimed(team, request_id)
-        row = claims.stamped(
-            dataclasses.replace(row, state=messages.State.CANCELLED, reason=CANCELLED)
+        row = stored.row if stored else unclaimed_row(team, request_id)
+        row = claims.with_new_attempt(
+            dataclasses.replace(
+                row, state=messages.State.CANCELLED, reason=CANCELLED_REASON
+            )
         )
-        written = self.ctx.claims.write(row, held.version if held else table.ABSENT)
+        written = self.ctx.claims.write(row, stored.version if stored else table.ABSENT)
         if isinstance(written, result.Ok):
             self.ctx.counters.count("work.cancelled.waiting")
             return result.Ok(outcomes.outcome_of(row))
         if isinstance(written.err_value, platform_errors.Unavailable):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
-        return result.Err(errors.Undecided(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
+        return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
 
-    def _record(self, task: registry.Task, report: dispatch_messages.Report) -> None:
+    def _apply_report(
+        self, task: registry.Task, report: dispatch_messages.Report
+    ) -> None:
         state = report.state
         started = state is dispatch_messages.TaskState.STOPPED
         void = state is dispatch_messages.TaskState.VOID
-        if not started and (not void or task.forgotten(report)):
-            self.ends.take_in(task, report)
+        if not started and (not void or task.forgotten_by_worker(report)):
+            self.transitions.handle_report(task, report)
             return
         task.in_doubt = False
         task.owned.ledger.release(task.task_id)
@@ -93,13 +100,13 @@
         row = dataclasses.replace(
             task.row,
             state=messages.State.CANCELLED,
-            reason=CANCELLED,
+            reason=CANCELLED_REASON,
             started=started or task.row.started,
         )
-        self.ends.move(task, row)
+        self.transitions.transition(task, row)
 
 
-def unclaimed(team: str, request_id: str) -> messages.WorkRow:
+def unclaimed_row(team: str, request_id: str) -> messages.WorkRow:
     """Return a row for work that was cancelled before anybody claimed it."""
     request = messages.Request(
         team, request_id, "", needs=resources.Resources(), body=None
--- a/src/mangosail/work/claims.py
+++ b/src/mangosail/work/claims.py
@@ -13,24 +13,24 @@
 from mangosail.work import messages
 
 #: Rows fetched by one read.
-READ_LIMIT = 100
+READ_BATCH_SIZE = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class StoredRow:
     """A row and the version it was read or written at."""
 
     row: messages.WorkRow
     version: int
 
 
-def digest_of(request: messages.Request) -> str:
+def request_digest(request: messages.Request) -> str:
     """Return what tells two bodies under one request id apart."""
     text = codec.to_json((request.kind, request.body))
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def stamped(row: messages.WorkRow) -> messages.WorkRow:
+def with_new_attempt(row: messages.WorkRow) -> messages.WorkRow:
     """Return `row` with a new attempt, by which a lost write is recognised."""
     return dataclasses.replace(row, attempt=secrets.token_hex(8))
 
@@ -48,29 +48,29 @@
 
     def read(
         self, team: str, request_id: str
-    ) -> result.Result[Held | None, platform_errors.Unavailable]:
+    ) -> result.Result[StoredRow | None, platform_errors.Unavailable]:
         """Return the present row of a piece of work, or None."""
         found = self.read_keys([messages.work_key(team, request_id)])
         return found.map(lambda held: held[0] if held else None)
 
     def read_keys(
         self, keys: cabc.Sequence[str]
-    ) -> result.Result[list[Held], platform_errors.Unavailable]:
+    ) -> result.Result[list[StoredRow], platform_errors.Unavailable]:
         """Return those of the rows that exist."""
-        held: list[Held] = []
-        for start in range(0, len(keys), READ_LIMIT):
-            found = self.rows.read(keys[start : start + READ_LIMIT])
+        held: list[StoredRow] = []
+        for start in range(0, len(keys), READ_BATCH_SIZE):
+            found = self.rows.read(keys[start : start + READ_BATCH_SIZE])
             if isinstance(found, result.Err):
                 return found
             held += [
-                Held(codec.from_json(row.value, messages.WorkRow), row.version)
+                StoredRow(codec.from_json(row.value, messages.WorkRow), row.version)
                 for row in found.ok_value.values()
             ]
         return result.Ok(held)
 
-    def placed(
+    def placed_on(
         self, worker: str, known: cabc.Callable[[str], bool]
-    ) -> result.Result[list[Held], platform_errors.Unavailable]:
+    ) -> result.Result[list[StoredRow], platform_errors.Unavailable]:
         """Return the work claimed for `worker` that is not `known` by task id."""
         prefix = f"placed/{worker}/"
         found = table.scan_all(self.rows, prefix)
@@ -81,7 +81,7 @@
 
     def write(
         self, row: messages.WorkRow, version: int, moved_from: str = ""
-    ) -> result.Result[Held, platform_errors.CommitError]:
+    ) -> result.Result[StoredRow, platform_errors.CommitError]:
         """Write the stamped `row` if the present version is `version`.
 
         A row that was with the worker `moved_from` is no longer listed there.
@@ -102,16 +102,16 @@
         transaction = table.Transaction((table.Check(key, version),), tuple(writes))
         committed = self.rows.commit(transaction)
         if isinstance(committed, result.Ok):
-            return result.Ok(Held(row, committed.ok_value))
+            return result.Ok(StoredRow(row, committed.ok_value))
         if isinstance(committed.err_value, platform_errors.Unavailable):
             return committed
-        return self._recognise(row, committed.err_value)
+        return self._resolve_write(row, committed.err_value)
 
-    def _recognise(
+    def _resolve_write(
         self,
         row: messages.WorkRow,
         error: platform_errors.Conflict | platform_errors.Uncertain,
-    ) -> result.Result[Held, platform_errors.CommitError]:
+    ) -> result.Result[StoredRow, platform_errors.CommitError]:
         """Tell a write of our own that stands from one that does not."""
         found = self.read(row.request.team, row.request.request_id)
         if isinstance(found, result.Err):
--- a/src/mangosail/work/context.py
+++ b/src/mangosail/work/context.py
@@ -12,7 +12,7 @@
 from mangosail.work import claims, messages, registry
 
 #: Seconds that an order to a worker may take until it counts as lost.
-ORDER_TIMEOUT = 2.0
+ORDER_TIMEOUT_S = 2.0
 
 #: Told of each piece of work that ended or was evicted here, with its row.
 EndListener = cabc.Callable[[messages.Outcome, messages.WorkRow], None]
@@ -29,11 +29,11 @@
     counters: telemetry.Counters
     registry: registry.Registry
     #: Tells whether the platform calls a worker gone.
-    gone: cabc.Callable[[str], bool]
+    is_worker_gone: cabc.Callable[[str], bool]
     #: Runs a function in a task of its own.
     spawn: t.Callable[..., t.Any]
     store: objects.Objects | None = None
-    on_end: list[EndListener] = dataclasses.field(default_factory=list)
+    end_listeners: list[EndListener] = dataclasses.field(default_factory=list)
 
     def may_act(self, owned: workers.OwnedWorker) -> bool:
         """Tell whether orders may be sent to the worker now.
--- a/src/mangosail/work/evictions.py
+++ b/src/mangosail/work/evictions.py
@@ -25,11 +25,14 @@
     """Takes restartable tasks off their workers."""
 
     def __init__(
-        self, ctx: context.Context, start: starts.Starts, end: transitions.Ends
+        self,
+        ctx: context.Context,
+        task_starts: starts.Starts,
+        task_transitions: transitions.TaskTransitions,
     ) -> None:
         self.ctx = ctx
-        self.starts = start
-        self.ends = end
+        self.starts = task_starts
+        self.transitions = task_transitions
 
     def evict(
         self, task_id: str, reason: str
@@ -46,7 +49,7 @@
     def _evict(
         self, task: registry.Task, reason: str
     ) -> result.Result[messages.Outcome, errors.NotEvicted]:
-        if task.left.ready() or task.in_doubt or task.pending is not None:
+        if task.removed.ready() or task.in_doubt or task.pending_row is not None:
             return self._refuse("unsettled")
         if not self.ctx.may_act(task.owned):
             return self._refuse("lease_over")
@@ -63,10 +66,10 @@
             task.in_doubt = True
             return self._refuse("stop_in_doubt")
         if stopped.ok_value.state is not dispatch_messages.TaskState.STOPPED:
-            self.ends.take_in(task, stopped.ok_value)
+            self.transitions.handle_report(task, stopped.ok_value)
             return self._refuse("ended")
         task.owned.ledger.release(task.task_id)
-        self.ends.move(task, outcomes.waiting(task.row, reason, name))
+        self.transitions.transition(task, outcomes.evicted_row(task.row, reason, name))
         if task.row.state is not messages.State.EVICTED:
             return self._refuse("not_written")
         self.ctx.counters.count("work.evicted")
--- a/src/mangosail/work/forwarding.py
+++ b/src/mangosail/work/forwarding.py
@@ -9,9 +9,9 @@
 
 #: Seconds that a peer waits for the end before it answers. Longer waits read
 #: the row instead, so that few of a peer's tasks are bound by other instances.
-PEER_WAIT = 0.5
+PEER_WAIT_S = 0.5
 #: Seconds for the way to the peer, its claim and the way back.
-PEER_TIMEOUT = 5.0
+PEER_TIMEOUT_S = 5.0
 
 
 class Forwarding:
@@ -35,10 +35,10 @@
         """Have one peer claim `request`; None if no peer has room."""
         for peer in self.peers.with_room(request.needs, self.data_centre)[:1]:
             left = deadline - self.clock.monotonic()
-            message = messages.ForwardedWork(request, min(max(left, 0.0), PEER_WAIT))
+            message = messages.ForwardedWork(request, min(max(left, 0.0), PEER_WAIT_S))
             self.counters.count("work.forwarded")
-            return self._counted(
-                peer.channel.call(methods.SUBMIT, message, PEER_TIMEOUT)
+            return self._count_errors(
+                peer.channel.call(methods.SUBMIT, message, PEER_TIMEOUT_S)
             )
         return None
 
@@ -51,9 +51,11 @@
             return result.Err("unknown_peer")
         message = messages.CancelWork(team, request_id)
         self.counters.count("work.cancel_forwarded")
-        return self._counted(peer.channel.call(methods.CANCEL, message, PEER_TIMEOUT))
+        return self._count_errors(
+            peer.channel.call(methods.CANCEL, message, PEER_TIMEOUT_S)
+        )
 
-    def _counted(
+    def _count_errors(
         self, answer: result.Result[messages.WorkAnswer, str]
     ) -> result.Result[messages.WorkAnswer, str]:
         if isinstance(answer, result.Err):
--- a/src/mangosail/work/leases.py
+++ b/src/mangosail/work/leases.py
@@ -14,11 +14,11 @@
 from mangosail.work import context, messages
 
 #: Seconds that a task's lease runs; outlives an outage of the table.
-TASK_TERM = 600.0
+TASK_LEASE_TERM_S = 600.0
 #: Seconds between renewals; four may fail before a task is stopped.
-RENEWAL_INTERVAL = 120.0
+RENEWAL_INTERVAL_S = 120.0
 #: Seconds until a renewal that failed is tried again.
-RETRY_INTERVAL = 5.0
+RETRY_INTERVAL_S = 5.0
 
 
 class Leases:
@@ -27,42 +27,46 @@
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
         #: Monotonic time of each worker's next renewal.
-        self.renew_at: dict[str, float] = {}
+        self.next_renewal_at: dict[str, float] = {}
 
     def renew_due(self) -> None:
         """Renew the leases of the workers whose time has come."""
         now = self.ctx.clock.monotonic()
         busy = {task.owned.name: task.owned for task in self.ctx.registry}
-        self.renew_at = {n: at for n, at in self.renew_at.items() if n in busy}
+        self.next_renewal_at = {
+            n: at for n, at in self.next_renewal_at.items() if n in busy
+        }
         for name, owned in busy.items():
-            due = self.renew_at.setdefault(name, now + RENEWAL_INTERVAL)
+            due = self.next_renewal_at.setdefault(name, now + RENEWAL_INTERVAL_S)
             if due <= now and self.ctx.may_act(owned):
-                self.renew_at[name] = now + RENEWAL_INTERVAL
+                self.next_renewal_at[name] = now + RENEWAL_INTERVAL_S
                 self.ctx.spawn(self.renew, owned)
 
     def renew(self, owned: workers.OwnedWorker) -> None:
         """Move on the lease of all tasks of `owned`, in the table first."""
-        written = self._write(owned.name, self.ctx.clock.wall() + TASK_TERM)
+        written = self._write_lease(
+            owned.name, self.ctx.clock.wall() + TASK_LEASE_TERM_S
+        )
         if isinstance(written, result.Err):
             self.ctx.counters.count("work.retry.lease_not_written")
-            self.renew_soon(owned.name, RETRY_INTERVAL)
+            self.renew_soon(owned.name, RETRY_INTERVAL_S)
             return
         if not self.ctx.may_act(owned):
             return
         told = owned.target.renew(
             written.ok_value - clocks.CLOCK_SKEW_MARGIN,
             owned.generation,
-            self.ctx.clock.monotonic() + context.ORDER_TIMEOUT,
+            self.ctx.clock.monotonic() + context.ORDER_TIMEOUT_S,
         )
         if isinstance(told, result.Err):
             self.ctx.counters.count("work.retry.lease_not_told")
-            self.renew_soon(owned.name, RETRY_INTERVAL)
+            self.renew_soon(owned.name, RETRY_INTERVAL_S)
 
     def renew_soon(self, worker: str, seconds: float = 0.0) -> None:
         """Have the worker's lease renewed `seconds` from now."""
-        self.renew_at[worker] = self.ctx.clock.monotonic() + seconds
+        self.next_renewal_at[worker] = self.ctx.clock.monotonic() + seconds
 
-    def over(self, row: messages.WorkRow) -> bool:
+    def has_expired(self, row: messages.WorkRow) -> bool:
         """Tell whether the lease of a claimed task has certainly ended."""
         wall = self.ctx.clock.wall()
         if wall <= row.lease_deadline + clocks.CLOCK_SKEW_MARGIN:
@@ -72,9 +76,13 @@
         if isinstance(found, result.Err):
             return False
         lease = found.ok_value.get(key)
-        return lease is None or wall > deadline_of(lease) + clocks.CLOCK_SKEW_MARGIN
+        return (
+            lease is None or wall > lease_deadline_of(lease) + clocks.CLOCK_SKEW_MARGIN
+        )
 
-    def _write(self, worker: str, deadline: float) -> result.Result[float, object]:
+    def _write_lease(
+        self, worker: str, deadline: float
+    ) -> result.Result[float, object]:
         """Write a lease that ends at `deadline`, or later if it does already."""
         key = messages.lease_key(worker)
         found = self.ctx.claims.rows.read([key])
@@ -82,7 +90,7 @@
             return found
         present = found.ok_value.get(key)
         if present is not None:
-            deadline = max(deadline, deadline_of(present))
+            deadline = max(deadline, lease_deadline_of(present))
         value = codec.to_json(messages.LeaseRow(worker, deadline))
         version = present.version if present else table.ABSENT
         transaction = table.Transaction(
@@ -91,6 +99,6 @@
         return self.ctx.claims.rows.commit(transaction).map(lambda _: deadline)
 
 
-def deadline_of(row: table.Row) -> float:
+def lease_deadline_of(row: table.Row) -> float:
     """Return the wall time at which the lease in `row` ends."""
     return codec.from_json(row.value, messages.LeaseRow).lease_deadline
--- a/src/mangosail/work/messages.py
+++ b/src/mangosail/work/messages.py
@@ -23,7 +23,7 @@
 
 
 #: States that never change again.
-FINAL = frozenset(
+FINAL_STATES = frozenset(
     {
         State.COMPLETED,
         State.FAILED,
@@ -76,7 +76,7 @@
     boot: str = ""
 
 
-class Told(enum.StrEnum):
+class OutcomeKind(enum.StrEnum):
     """The three outcomes of durable work."""
 
     #: It was started and has come to a known end, whole answer or failure.
--- a/src/mangosail/work/moves.py
+++ b/src/mangosail/work/moves.py
@@ -18,9 +18,9 @@
 class Moves:
     """Chooses another worker for tasks whose caller still waits."""
 
-    def __init__(self, ctx: context.Context, place: placer.Placer) -> None:
+    def __init__(self, ctx: context.Context, task_placer: placer.Placer) -> None:
         self.ctx = ctx
-        self.placer = place
+        self.placer = task_placer
 
     def next_row(self, task: registry.Task) -> messages.WorkRow | None:
         """Return the row that moves `task`, or None if it has to end here.
@@ -32,20 +32,22 @@
         late = task.deadline <= self.ctx.clock.monotonic()
         if late or request.restartable or not self.ctx.lease.valid():
             return None
-        task.avoided |= {task.owned.name}
+        task.avoided_workers |= {task.owned.name}
         # The worker's failure is learned, as if the task had ended with it.
         self.placer.finish(task.task_id, False)
-        placed = self.placer.place(placing.work_of(request), avoid=task.avoided)
+        placed = self.placer.place(
+            placing.placement_work(request), avoid=task.avoided_workers
+        )
         if isinstance(placed, result.Err):
             self.ctx.counters.count("work.not_moved")
             return None
         self.ctx.counters.count("work.moved")
         task.next_owned = placed.ok_value.owned
-        return claims.stamped(
+        return claims.with_new_attempt(
             dataclasses.replace(
                 task.row,
                 generation=task.row.generation + 1,
                 worker=task.next_owned.name,
-                lease_deadline=self.ctx.clock.wall() + leases.TASK_TERM,
+                lease_deadline=self.ctx.clock.wall() + leases.TASK_LEASE_TERM_S,
             )
         )
--- a/src/mangosail/work/outcomes.py
+++ b/src/mangosail/work/outcomes.py
@@ -7,24 +7,28 @@
 
 #: Seconds after which a caller should ask again: for an outcome that is not known
 #: yet, or for anything while the table is no help.
-ASK_AGAIN = 1.0
+RETRY_AFTER_S = 1.0
 
 #: What each final state is told as.
-TOLD = {
-    messages.State.COMPLETED: messages.Told.COMPLETED,
-    messages.State.FAILED: messages.Told.COMPLETED,
-    messages.State.NOT_RUN: messages.Told.NOT_RUN,
-    messages.State.UNKNOWN: messages.Told.UNKNOWN,
+OUTCOME_BY_STATE = {
+    messages.State.COMPLETED: messages.OutcomeKind.COMPLETED,
+    messages.State.FAILED: messages.OutcomeKind.COMPLETED,
+    messages.State.NOT_RUN: messages.OutcomeKind.NOT_RUN,
+    messages.State.UNKNOWN: messages.OutcomeKind.UNKNOWN,
 }
 
 
 def outcome_of(row: messages.WorkRow) -> messages.Outcome:
     """Return what a caller is told of `row`."""
-    final = row.state in messages.FINAL
-    told = TOLD.get(row.state, messages.Told.UNKNOWN)
+    final = row.state in messages.FINAL_STATES
+    told = OUTCOME_BY_STATE.get(row.state, messages.OutcomeKind.UNKNOWN)
     if row.state is messages.State.CANCELLED:
-        told = messages.Told.COMPLETED if row.started else messages.Told.NOT_RUN
-    ended = told is messages.Told.COMPLETED
+        told = (
+            messages.OutcomeKind.COMPLETED
+            if row.started
+            else messages.OutcomeKind.NOT_RUN
+        )
+    ended = told is messages.OutcomeKind.COMPLETED
     return messages.Outcome(
         row.request.request_id,
         told.value,
@@ -33,26 +37,29 @@
         row.state.value,
         failed=ended and row.state is not messages.State.COMPLETED,
         started=row.started,
-        retry_after=None if final else ASK_AGAIN,
+        retry_after=None if final else RETRY_AFTER_S,
     )
 
 
-def in_doubt(request_id: str, reason: str) -> messages.Outcome:
+def unknown_outcome(request_id: str, reason: str) -> messages.Outcome:
     """Return the outcome of work of which nothing certain is known yet."""
     return messages.Outcome(
-        request_id, messages.Told.UNKNOWN.value, reason=reason, retry_after=ASK_AGAIN
+        request_id,
+        messages.OutcomeKind.UNKNOWN.value,
+        reason=reason,
+        retry_after=RETRY_AFTER_S,
     )
 
 
-def ended(
+def row_after_report(
     row: messages.WorkRow, report: dispatch_messages.Report, checkpoint: str = ""
 ) -> messages.WorkRow:
     """Return the row that follows once the worker has told of an end."""
     state = report.state
     if state is dispatch_messages.TaskState.VOID:
-        return never_ran(row, report.reason or "void")
+        return not_run_row(row, report.reason or "void")
     if state is dispatch_messages.TaskState.STOPPED and row.request.restartable:
-        return waiting(row, report.reason, checkpoint)
+        return evicted_row(row, report.reason, checkpoint)
     done = state is dispatch_messages.TaskState.DONE
     return dataclasses.replace(
         row,
@@ -63,14 +70,14 @@
     )
 
 
-def never_ran(row: messages.WorkRow, reason: str) -> messages.WorkRow:
+def not_run_row(row: messages.WorkRow, reason: str) -> messages.WorkRow:
     """Return the row of work whose present generation certainly never ran."""
     if row.request.restartable:
         return dataclasses.replace(row, state=messages.State.EVICTED, reason=reason)
     return dataclasses.replace(row, state=messages.State.NOT_RUN, reason=reason)
 
 
-def waiting(
+def evicted_row(
     row: messages.WorkRow, reason: str, checkpoint: str = ""
 ) -> messages.WorkRow:
     """Return the row of restartable work that waits to be resumed."""
@@ -83,10 +90,10 @@
     )
 
 
-def worker_gone(row: messages.WorkRow) -> messages.WorkRow:
+def worker_lost_row(row: messages.WorkRow) -> messages.WorkRow:
     """Return the row of claimed work whose worker is gone, or has forgotten it."""
     if row.request.restartable:
-        return waiting(row, "worker_lost")
+        return evicted_row(row, "worker_lost")
     return dataclasses.replace(
         row, state=messages.State.UNKNOWN, reason="worker_lost", started=True
     )
--- a/src/mangosail/work/placing.py
+++ b/src/mangosail/work/placing.py
@@ -4,7 +4,7 @@
 from mangosail.work import messages
 
 
-def work_of(request: messages.Request) -> placement_messages.Work:
+def placement_work(request: messages.Request) -> placement_messages.Work:
     """Return the request as placement sees it."""
     batch, task = placement_messages.WorkClass.BATCH, placement_messages.WorkClass.TASK
     return placement_messages.Work(
--- a/src/mangosail/work/registry.py
+++ b/src/mangosail/work/registry.py
@@ -19,16 +19,19 @@
     """A claimed piece of work, and where it stands."""
 
     def __init__(
-        self, held: claims.Held, owned: workers.OwnedWorker, deadline: float = 0.0
+        self,
+        stored: claims.StoredRow,
+        owned: workers.OwnedWorker,
+        deadline: float = 0.0,
     ) -> None:
-        self.held = held
+        self.stored = stored
         self.owned = owned
         #: Monotonic time until which its caller waits here; 0 for nobody.
         self.deadline = deadline
         #: Where the pending row, if it is a move, brings the task.
         self.next_owned: workers.OwnedWorker | None = None
         #: Workers on which it certainly never started.
-        self.avoided: frozenset[str] = frozenset()
+        self.avoided_workers: frozenset[str] = frozenset()
         #: Held by whoever sends the worker an order for this task or writes
         #: its row: start, end, eviction and cancellation come one at a time.
         self.lock = gevent.lock.RLock()
@@ -37,25 +40,25 @@
         #: True once its cancellation was asked for, until the task has left.
         self.cancelling = False
         #: The next row, if the table has not yet taken it.
-        self.pending: messages.WorkRow | None = None
+        self.pending_row: messages.WorkRow | None = None
         #: The row once the task is no longer in hand; None if that is unread.
-        self.left = gevent.event.AsyncResult()
+        self.removed = gevent.event.AsyncResult()
 
     @property
     def row(self) -> messages.WorkRow:
         """Return the row as it was last written."""
-        return self.held.row
+        return self.stored.row
 
     @property
     def task_id(self) -> str:
         """Return the id under which the worker knows the task."""
         return messages.task_id_of(self.row.request)
 
-    def concerns(self, report: dispatch_messages.Report) -> bool:
+    def matches_generation(self, report: dispatch_messages.Report) -> bool:
         """Tell whether `report` is of the generation in hand."""
         return report.generation == self.row.generation
 
-    def forgotten(self, report: dispatch_messages.Report) -> bool:
+    def forgotten_by_worker(self, report: dispatch_messages.Report) -> bool:
         """Tell whether `void` comes from another run of the worker than the start.
 
         A worker that was killed comes back without its memory and makes void what
@@ -82,7 +85,7 @@
         """Return the task if it is in hand."""
         return self.by_id.get(task_id)
 
-    def on_worker(self, name: str) -> list[Task]:
+    def tasks_on_worker(self, name: str) -> list[Task]:
         """Return the tasks on one worker."""
         return [task for task in self if task.owned.name == name]
 
@@ -90,13 +93,13 @@
         """Take a task in hand."""
         self.by_id[task.task_id] = task
 
-    def leave(self, task: Task, row: messages.WorkRow | None) -> None:
+    def remove(self, task: Task, row: messages.WorkRow | None) -> None:
         """Let go of a task, and tell those that wait for it."""
         if self.by_id.get(task.task_id) is task:
             del self.by_id[task.task_id]
         task.owned.ledger.release(task.task_id)
-        if not task.left.ready():
-            task.left.set(row)
+        if not task.removed.ready():
+            task.removed.set(row)
 
     def await_claim(self, task_id: str, seconds: float) -> bool:
         """Wait for a claim under way here, and tell whether none is left."""
--- a/src/mangosail/work/runner.py
+++ b/src/mangosail/work/runner.py
@@ -45,13 +45,13 @@
 )
 
 #: Ends that say whether the worker and the job do well.
-TELLING = frozenset(
+LEARNED_STATES = frozenset(
     {messages.State.COMPLETED, messages.State.FAILED, messages.State.NOT_RUN}
 )
 
 #: What work is told that finds no room here.
 NO_ROOM = placement_errors.NotPlaced(
-    placement_errors.Reason.NO_CAPACITY, outcomes.ASK_AGAIN
+    placement_errors.Reason.NO_CAPACITY, outcomes.RETRY_AFTER_S
 )
 
 Submitted = result.Result[messages.Outcome, SubmitError]
@@ -73,18 +73,18 @@
         self,
         claim_rows: claims.Claims,
         owned: workers.Workers,
-        place: placer.Placer,
+        task_placer: placer.Placer,
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        forward: forwarding.Forwarding | None = None,
+        forwarder: forwarding.Forwarding | None = None,
         store: objects.Objects | None = None,
-        gone: cabc.Callable[[str], bool] = never_gone,
+        is_worker_gone: cabc.Callable[[str], bool] = never_gone,
         spawn: cabc.Callable[..., object] = gevent.spawn,
     ) -> None:
         self.owned = owned
-        self.placer = place
-        self.forwarding = forward
+        self.placer = task_placer
+        self.forwarding = forwarder
         self.ctx = context.Context(
             claim_rows,
             owned,
@@ -92,25 +92,29 @@
             clock,
             counters,
             registry.Registry(),
-            gone,
+            is_worker_gone,
             spawn,
             store,
         )
-        self.ctx.on_end.append(self._give_back)
+        self.ctx.end_listeners.append(self._release_placement)
         self.leases = leases.Leases(self.ctx)
-        self.ends = transitions.Ends(self.ctx)
-        self.starts = starts.Starts(self.ctx, self.ends, moves.Moves(self.ctx, place))
-        self.adoption = adoption.Adoption(self.ctx, self.starts, self.ends, self.leases)
-        self.waiting = waiting.Waiting(self.ctx, self.adoption)
-        self.evictions = evictions.Evictions(self.ctx, self.starts, self.ends)
+        self.transitions = transitions.TaskTransitions(self.ctx)
+        self.starts = starts.Starts(
+            self.ctx, self.transitions, moves.Moves(self.ctx, task_placer)
+        )
+        self.adoption = adoption.Adoption(
+            self.ctx, self.starts, self.transitions, self.leases
+        )
+        self.waiter = waiting.OutcomeWaiter(self.ctx, self.adoption)
+        self.evictions = evictions.Evictions(self.ctx, self.starts, self.transitions)
         self.cancellations = cancellations.Cancellations(
-            self.ctx, self.starts, self.ends
+            self.ctx, self.starts, self.transitions
         )
 
     @property
-    def on_end(self) -> list[context.EndListener]:
+    def end_listeners(self) -> list[context.EndListener]:
         """Return the listeners that are told of each end and eviction here."""
-        return self.ctx.on_end
+        return self.ctx.end_listeners
 
     def submit(
         self, request: messages.Request, deadline: float, forward: bool = True
@@ -124,16 +128,16 @@
         task_id = messages.task_id_of(request)
         left = max(deadline - self.ctx.clock.monotonic(), 0.0)
         if not self.ctx.registry.await_claim(task_id, left):
-            return result.Ok(outcomes.in_doubt(request.request_id, "claiming"))
+            return result.Ok(outcomes.unknown_outcome(request.request_id, "claiming"))
         if self.ctx.registry.get(task_id) is not None:
-            return self._repeat(request, deadline)
+            return self._resubmit(request, deadline)
         if not self.has_room(request) or not self.ctx.lease.valid():
-            return self._without_room(request, deadline, forward)
+            return self._submit_without_room(request, deadline, forward)
         return self._claim(request, None, deadline)
 
     def has_room(self, request: messages.Request) -> bool:
         """Tell whether `request` would be placed, or refused for good, now."""
-        return self.placer.wait_reason(placing.work_of(request)) is None
+        return self.placer.wait_reason(placing.placement_work(request)) is None
 
     def evict(
         self, task_id: str, reason: str
@@ -150,33 +154,35 @@
         `failed` that it was stopped, without `failed` that it had ended before.
         """
         task_id = f"{team}/{request_id}"
-        self.ctx.registry.await_claim(task_id, context.ORDER_TIMEOUT)
+        self.ctx.registry.await_claim(task_id, context.ORDER_TIMEOUT_S)
         task = self.ctx.registry.get(task_id)
         if task is not None:
             self.cancellations.cancel_task(task)
-            return result.Ok(self.waiting.for_task(task, self.ctx.clock.monotonic()))
-        found = self.waiting.read(team, request_id)
+            return result.Ok(
+                self.waiter.wait_for_task(task, self.ctx.clock.monotonic())
+            )
+        found = self.waiter.read(team, request_id)
         if isinstance(found, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         held = found.ok_value
         if held is None or held.row.state is messages.State.EVICTED:
             return self.cancellations.cancel_row(team, request_id, held)
-        if held.row.state in messages.FINAL or not forward:
+        if held.row.state in messages.FINAL_STATES or not forward:
             return result.Ok(outcomes.outcome_of(held.row))
         return result.Ok(self._cancel_at_holder(held))
 
-    def on_worker(self, worker: str) -> list[messages.Request]:
+    def requests_on_worker(self, worker: str) -> list[messages.Request]:
         """Return the work in hand on an own worker."""
-        tasks = self.ctx.registry.on_worker(worker)
+        tasks = self.ctx.registry.tasks_on_worker(worker)
         return [task.row.request for task in tasks]
 
     def look_up(
         self, team: str, request_id: str
     ) -> result.Result[messages.Outcome | None, errors.StoreUnavailable]:
         """Return what is known of a piece of work, or None if nothing is."""
-        found = self.waiting.read(team, request_id)
+        found = self.waiter.read(team, request_id)
         if isinstance(found, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         if found.ok_value is None:
             return result.Ok(None)
         return result.Ok(outcomes.outcome_of(found.ok_value.row))
@@ -187,8 +193,8 @@
             task = self.ctx.registry.get(report.task_id)
             ended = report.state is not dispatch_messages.TaskState.RUNNING
             if task is not None and ended and task.owned.name == worker:
-                self.ctx.spawn(self._take_in, task, report)
-        for task in self.ctx.registry.on_worker(worker):
+                self.ctx.spawn(self._handle_report, task, report)
+        for task in self.ctx.registry.tasks_on_worker(worker):
             if task.row.boot != snapshot.boot:
                 # Its worker started again without its memory. The claim may
                 # also be newer than the snapshot: the worker is asked.
@@ -199,52 +205,57 @@
         for task in self.ctx.registry:
             if task.lock.acquire(blocking=False):
                 task.lock.release()
-                self.ctx.spawn(self._take_up, task)
+                self.ctx.spawn(self._sweep_task, task)
         self.adoption.scan_due()
         self.leases.renew_due()
 
     def on_unreachable(self, worker: str) -> None:
         """Do nothing: work on a worker out of reach may go on there."""
 
-    def _take_in(self, task: registry.Task, report: dispatch_messages.Report) -> None:
+    def _handle_report(
+        self, task: registry.Task, report: dispatch_messages.Report
+    ) -> None:
         with task.lock:
-            self.ends.take_in(task, report)
+            self.transitions.handle_report(task, report)
 
-    def _take_up(self, task: registry.Task) -> None:
+    def _sweep_task(self, task: registry.Task) -> None:
         with task.lock:
-            if task.left.ready():
+            if task.removed.ready():
                 return
-            if task.pending is not None:
-                self.ends.write_pending(task)
-            elif self.ctx.gone(task.owned.name):
+            if task.pending_row is not None:
+                self.transitions.write_pending(task)
+            elif self.ctx.is_worker_gone(task.owned.name):
                 self.ctx.counters.count("work.worker_lost")
-                self.ends.move(task, outcomes.worker_gone(task.row))
+                self.transitions.transition(task, outcomes.worker_lost_row(task.row))
             elif not self.ctx.may_act(task.owned):
                 self._drop_if_lost(task)
             elif task.cancelling:
                 self.cancellations.cancel_task(task)
             elif task.in_doubt:
-                self.starts.clear_up(task)
+                self.starts.resolve_start(task)
 
     def _drop_if_lost(self, task: registry.Task) -> None:
         """Forget a task whose worker is no longer ours; its taker adopts it."""
         if self.owned.get(task.owned.name) is not task.owned:
-            self.ends.forget(task)
+            self.transitions.abandon(task)
 
     def _claim(
-        self, request: messages.Request, held: claims.Held | None, deadline: float
+        self,
+        request: messages.Request,
+        stored: claims.StoredRow | None,
+        deadline: float,
     ) -> Submitted:
         """Claim `request`, anew or resuming from `held`, and start it."""
         task_id = messages.task_id_of(request)
         with self.ctx.registry.claim(task_id):
             if not self.ctx.lease.valid():
-                return self._refuse_for_room(request, held)
-            placed = self.placer.place(placing.work_of(request))
+                return self._refuse_for_room(request, stored)
+            placed = self.placer.place(placing.placement_work(request))
             if isinstance(placed, result.Err):
-                return self._refuse_for_room(request, held, placed.err_value)
+                return self._refuse_for_room(request, stored, placed.err_value)
             owned = placed.ok_value.owned
-            row = self._claimed_row(request, held, owned)
-            version = held.version if held else table.ABSENT
+            row = self._claimed_row(request, stored, owned)
+            version = stored.version if stored else table.ABSENT
             written = self.ctx.claims.write(row, version)
             if isinstance(written, result.Err) and isinstance(
                 written.err_value, platform_errors.Uncertain
@@ -257,14 +268,16 @@
                 self.ctx.registry.add(task)
         if isinstance(written, result.Err):
             self.placer.release(task_id)
-            return self._unclaimed(request, written.err_value, deadline)
+            return self._handle_claim_error(request, written.err_value, deadline)
         self.ctx.spawn(self.starts.start, task)
-        return result.Ok(self.waiting.for_task(task, deadline))
+        return result.Ok(self.waiter.wait_for_task(task, deadline))
 
-    def _give_back(self, outcome: messages.Outcome, row: messages.WorkRow) -> None:
+    def _release_placement(
+        self, outcome: messages.Outcome, row: messages.WorkRow
+    ) -> None:
         """Give the place back, and have placement learn from a telling end."""
         task_id = messages.task_id_of(row.request)
-        if row.state in TELLING:
+        if row.state in LEARNED_STATES:
             self.placer.finish(task_id, row.state is messages.State.COMPLETED)
         else:
             self.placer.release(task_id)
@@ -272,94 +285,98 @@
     def _claimed_row(
         self,
         request: messages.Request,
-        held: claims.Held | None,
+        stored: claims.StoredRow | None,
         owned: workers.OwnedWorker,
     ) -> messages.WorkRow:
         mine = self.ctx.lease.row
-        return claims.stamped(
+        return claims.with_new_attempt(
             messages.WorkRow(
                 request=request,
-                digest=claims.digest_of(request),
+                digest=claims.request_digest(request),
                 state=messages.State.CLAIMED,
                 holder=mine.instance,
                 incarnation=mine.incarnation,
                 attempt="",
-                generation=held.row.generation + 1 if held else 1,
+                generation=stored.row.generation + 1 if stored else 1,
                 worker=owned.name,
-                lease_deadline=self.ctx.clock.wall() + leases.TASK_TERM,
-                checkpoint=held.row.checkpoint if held else "",
-                started=held.row.started if held else False,
+                lease_deadline=self.ctx.clock.wall() + leases.TASK_LEASE_TERM_S,
+                checkpoint=stored.row.checkpoint if stored else "",
+                started=stored.row.started if stored else False,
                 boot=owned.boot,
             )
         )
 
-    def _unclaimed(
+    def _handle_claim_error(
         self,
         request: messages.Request,
         error: platform_errors.CommitError,
         deadline: float,
     ) -> Submitted:
         if isinstance(error, platform_errors.Conflict):
-            return self._repeat(request, deadline)
+            return self._resubmit(request, deadline)
         kind = type(error).__name__.lower()
         self.ctx.counters.count(f"work.refused.claim_{kind}")
         if isinstance(error, platform_errors.Unavailable):
             return result.Err(
-                errors.StoreUnavailable(outcomes.ASK_AGAIN, reason_of(error))
+                errors.StoreUnavailable(
+                    outcomes.RETRY_AFTER_S, unavailable_reason(error)
+                )
             )
         # The claim may yet land. Nobody starts it then: the scan of what is
         # placed on its worker finds it, makes it void there and says not_run.
-        return result.Err(errors.Undecided(outcomes.ASK_AGAIN))
+        return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
 
-    def _repeat(self, request: messages.Request, deadline: float) -> Submitted:
+    def _resubmit(self, request: messages.Request, deadline: float) -> Submitted:
         """Return what became of a request that was made before."""
         task = self.ctx.registry.get(messages.task_id_of(request))
-        if task is not None and not self._same(request, task.row):
-            return self._refuse_body(request)
+        if task is not None and not self._is_same_request(request, task.row):
+            return self._refuse_body_conflict(request)
         self.ctx.counters.count("work.repeated")
         if task is not None:
-            return result.Ok(self.waiting.for_task(task, deadline))
-        found = self.waiting.read(request.team, request.request_id)
+            return result.Ok(self.waiter.wait_for_task(task, deadline))
+        found = self.waiter.read(request.team, request.request_id)
         if isinstance(found, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         held = found.ok_value
         if held is None:
-            return result.Err(errors.Undecided(outcomes.ASK_AGAIN))
-        return self._repeat_row(request, held, deadline)
+            return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
+        return self._resubmit_row(request, held, deadline)
 
-    def _repeat_row(
-        self, request: messages.Request, held: claims.Held, deadline: float
+    def _resubmit_row(
+        self, request: messages.Request, stored: claims.StoredRow, deadline: float
     ) -> Submitted:
-        row = held.row
-        if not self._same(request, row):
-            return self._refuse_body(request)
-        if row.state in messages.FINAL:
+        row = stored.row
+        if not self._is_same_request(request, row):
+            return self._refuse_body_conflict(request)
+        if row.state in messages.FINAL_STATES:
             return result.Ok(outcomes.outcome_of(row))
         if row.state is messages.State.EVICTED:
-            return self._claim(row.request, held, deadline)
+            return self._claim(row.request, stored, deadline)
         return result.Ok(
-            self.waiting.for_row(request.team, request.request_id, deadline)
+            self.waiter.wait_for_row(request.team, request.request_id, deadline)
         )
 
-    def _same(self, request: messages.Request, row: messages.WorkRow) -> bool:
+    def _is_same_request(
+        self, request: messages.Request, row: messages.WorkRow
+    ) -> bool:
         """Tell whether `row` is of this request; a bare cancellation is of any."""
-        return row.digest in ("", claims.digest_of(request))
+        return row.digest in ("", claims.request_digest(request))
 
-    def _refuse_body(self, request: messages.Request) -> Submitted:
+    def _refuse_body_conflict(self, request: messages.Request) -> Submitted:
         self.ctx.counters.count("work.refused.body_conflict")
         return result.Err(errors.BodyConflict(request.request_id))
 
-    def _without_room(
+    def _submit_without_room(
         self, request: messages.Request, deadline: float, forward: bool
     ) -> Submitted:
         """Look for an earlier outcome, then for a peer, then refuse."""
-        refused = self.placer.wait_reason(placing.work_of(request)) or NO_ROOM
-        found = self.waiting.read(request.team, request.request_id)
+        refused = self.placer.wait_reason(placing.placement_work(request)) or NO_ROOM
+        found = self.waiter.read(request.team, request.request_id)
         if isinstance(found, result.Err):
-            return result.Err(errors.StoreUnavailable(outcomes.ASK_AGAIN))
+            return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         held = found.ok_value
         if held is not None and held.row.state is not messages.State.EVICTED:
-            return self._repeat_row(request, held, deadline)
+            return self._resubmit_row(request, held, deadline)
         if not forward or self.forwarding is None:
             return self._refuse_for_room(request, held, refused)
         answer = self.forwarding.submit(request, deadline)
@@ -368,28 +385,28 @@
         if isinstance(answer, result.Ok) and answer.ok_value.refused:
             return self._refuse_for_room(request, held, refused)
         return result.Ok(
-            self.waiting.for_row(request.team, request.request_id, deadline)
+            self.waiter.wait_for_row(request.team, request.request_id, deadline)
         )
 
     def _refuse_for_room(
         self,
         request: messages.Request,
-        held: claims.Held | None,
+        stored: claims.StoredRow | None,
         refused: placement_errors.NotPlaced = NO_ROOM,
     ) -> Submitted:
         self.ctx.counters.count(f"work.refused.{refused.reason.value}")
-        if held is not None:
-            return result.Ok(outcomes.outcome_of(held.row))
+        if stored is not None:
+            return result.Ok(outcomes.outcome_of(stored.row))
         return result.Err(refused)
 
-    def _cancel_at_holder(self, held: claims.Held) -> messages.Outcome:
-        request = held.row.request
+    def _cancel_at_holder(self, stored: claims.StoredRow) -> messages.Outcome:
+        request = stored.row.request
         if self.forwarding is None:
-            return outcomes.outcome_of(held.row)
-        self.forwarding.cancel(held.row.holder, request.team, request.request_id)
+            return outcomes.outcome_of(stored.row)
+        self.forwarding.cancel(stored.row.holder, request.team, request.request_id)
         # The row tells what came of it, whether or not the answer was lost.
         now = self.ctx.clock.monotonic()
-        return self.waiting.for_row(request.team, request.request_id, now)
+        return self.waiter.wait_for_row(request.team, request.request_id, now)
 
     def submit_for_peer(self, message: messages.ForwardedWork) -> messages.WorkAnswer:
         """Claim a peer's request here, and answer soon."""
@@ -406,7 +423,7 @@
         return messages.WorkAnswer(refused=False)
 
 
-def reason_of(error: platform_errors.Unavailable) -> str:
+def unavailable_reason(error: platform_errors.Unavailable) -> str:
     """Return the reason a caller is told for a table that took nothing."""
     busy = error.reason == "store_busy"
     return error.reason if busy else "store_unavailable"
--- a/src/mangosail/work/starts.py
+++ b/src/mangosail/work/starts.py
@@ -15,25 +15,30 @@
     """Sends each start once."""
 
     def __init__(
-        self, ctx: context.Context, end: transitions.Ends, move: moves.Moves
+        self,
+        ctx: context.Context,
+        task_transitions: transitions.TaskTransitions,
+        task_moves: moves.Moves,
     ) -> None:
         self.ctx = ctx
-        self.ends = end
-        self.moves = move
-        end.on_moved = self._moved
+        self.transitions = task_transitions
+        self.moves = task_moves
+        task_transitions.on_reassigned = self._start_on_next_worker
 
     def start(self, task: registry.Task) -> None:
         """Start `task`, which is in hand."""
         with task.lock:
-            if task.left.ready():
+            if task.removed.ready():
                 return
             if not self.ctx.may_act(task.owned):
                 self.ctx.counters.count("work.not_started.lease_over")
-                self.ends.move(task, outcomes.never_ran(task.row, "lease_over"))
+                self.transitions.transition(
+                    task, outcomes.not_run_row(task.row, "lease_over")
+                )
                 return
-            self._send(task)
+            self._send_start(task)
 
-    def clear_up(self, task: registry.Task) -> None:
+    def resolve_start(self, task: registry.Task) -> None:
         """Find out what the worker made of a start, and make it certain.
 
         A start that the worker does not know of may still be on its way, so it
@@ -47,11 +52,11 @@
             self.ctx.counters.count("work.retry.start_in_doubt")
             return
         report = found.ok_value
-        if task.concerns(report) and known(report):
-            self.ends.take_in(task, report)
+        if task.matches_generation(report) and is_known(report):
+            self.transitions.handle_report(task, report)
             return
         if report.generation > generation:
-            self.ends.forget(task)
+            self.transitions.abandon(task)
             return
         voided = target.void(task.task_id, generation, self.order_deadline())
         if isinstance(voided, result.Err):
@@ -59,16 +64,20 @@
             return
         report = voided.ok_value
         void = report.state is dispatch_messages.TaskState.VOID
-        if void and task.concerns(report) and not task.forgotten(report):
-            self._never_started(task, report.reason or "void")
+        if (
+            void
+            and task.matches_generation(report)
+            and not task.forgotten_by_worker(report)
+        ):
+            self._handle_not_started(task, report.reason or "void")
             return
-        self.ends.take_in(task, report)
+        self.transitions.handle_report(task, report)
 
     def order_deadline(self) -> float:
         """Return when an order sent now counts as lost."""
-        return self.ctx.clock.monotonic() + context.ORDER_TIMEOUT
+        return self.ctx.clock.monotonic() + context.ORDER_TIMEOUT_S
 
-    def _send(self, task: registry.Task) -> None:
+    def _send_start(self, task: registry.Task) -> None:
         row = task.row
         start = dispatch_messages.Start(
             task_id=task.task_id,
@@ -86,30 +95,30 @@
         self.ctx.counters.count("work.started")
         answer = task.owned.target.start(start, self.order_deadline())
         if isinstance(answer, result.Ok):
-            self.ends.take_in(task, answer.ok_value)
+            self.transitions.handle_report(task, answer.ok_value)
             return
         error = answer.err_value
         self.ctx.counters.count(f"work.start_failed.{type(error).__name__.lower()}")
         if isinstance(error, dispatch_errors.NotSent):
-            self._never_started(task, error.reason)
+            self._handle_not_started(task, error.reason)
             return
         log.warning("start in doubt", task=task.task_id, why=error.reason)
-        self.clear_up(task)
+        self.resolve_start(task)
 
-    def _never_started(self, task: registry.Task, reason: str) -> None:
+    def _handle_not_started(self, task: registry.Task, reason: str) -> None:
         """Move a task that certainly never ran on, or say so of it."""
-        if task.left.ready() or task.pending is not None:
+        if task.removed.ready() or task.pending_row is not None:
             return
         task.in_doubt = False
         row = self.moves.next_row(task)
-        self.ends.move(task, row or outcomes.never_ran(task.row, reason))
+        self.transitions.transition(task, row or outcomes.not_run_row(task.row, reason))
 
-    def _moved(self, task: registry.Task) -> None:
+    def _start_on_next_worker(self, task: registry.Task) -> None:
         if task.next_owned is not None:
             task.owned, task.next_owned = task.next_owned, None
             self.ctx.spawn(self.start, task)
 
 
-def known(report: dispatch_messages.Report) -> bool:
+def is_known(report: dispatch_messages.Report) -> bool:
     """Tell whether the worker has, or had, the task that it reports."""
     return report.state is not dispatch_messages.TaskState.UNKNOWN
--- a/src/mangosail/work/transitions.py
+++ b/src/mangosail/work/transitions.py
@@ -9,73 +9,75 @@
 from mangosail.work import claims, context, messages, outcomes, registry
 
 
-class Ends:
+class TaskTransitions:
     """Records what became of the tasks in hand."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
         #: Told of a task whose row now names its next worker.
-        self.on_moved: cabc.Callable[[registry.Task], None] | None = None
+        self.on_reassigned: cabc.Callable[[registry.Task], None] | None = None
 
-    def take_in(self, task: registry.Task, report: dispatch_messages.Report) -> None:
+    def handle_report(
+        self, task: registry.Task, report: dispatch_messages.Report
+    ) -> None:
         """Record what the worker said of `task`, if it is an end."""
-        if not task.concerns(report) or task.left.ready():
+        if not task.matches_generation(report) or task.removed.ready():
             return
         task.in_doubt = False
         if report.state is dispatch_messages.TaskState.RUNNING:
             return
         task.owned.ledger.release(task.task_id)
-        if task.forgotten(report):
+        if task.forgotten_by_worker(report):
             self.ctx.counters.count("work.worker_restarted")
-            self.move(task, outcomes.worker_gone(task.row))
+            self.transition(task, outcomes.worker_lost_row(task.row))
             return
         checkpoint = ""
         if report.state is dispatch_messages.TaskState.STOPPED:
             checkpoint = self._stored_checkpoint(task.row)
-        self.move(task, outcomes.ended(task.row, report, checkpoint))
+        self.transition(task, outcomes.row_after_report(task.row, report, checkpoint))
 
-    def move(self, task: registry.Task, row: messages.WorkRow) -> None:
+    def transition(self, task: registry.Task, row: messages.WorkRow) -> None:
         """Write the task's next row; if the table is away, `sweep` tries again.
 
         Once a next row was chosen, no other is: the first write may stand
         although its answer was lost.
         """
-        if task.left.ready():
+        if task.removed.ready():
             return
-        if task.pending is None:
-            task.pending = claims.stamped(row)
+        if task.pending_row is None:
+            task.pending_row = claims.with_new_attempt(row)
         self.write_pending(task)
 
     def write_pending(self, task: registry.Task) -> None:
         """Write the row that waits for the table."""
-        if task.pending is None:
+        if task.pending_row is None:
             return
         written = self.ctx.claims.write(
-            task.pending, task.held.version, task.row.worker
+            task.pending_row, task.stored.version, task.row.worker
         )
         if isinstance(written, result.Ok):
-            task.pending = None
-            task.held = written.ok_value
+            task.pending_row = None
+            task.stored = written.ok_value
             if task.row.state is not messages.State.CLAIMED:
-                self._leave(task)
-            elif self.on_moved is not None:
-                self.on_moved(task)
+                self._finish(task)
+            elif self.on_reassigned is not None:
+                self.on_reassigned(task)
             return
         if isinstance(written.err_value, platform_errors.Conflict):
-            self.forget(task)
+            self.abandon(task)
             return
         self.ctx.counters.count("work.retry.end_not_written")
 
-    def forget(self, task: registry.Task) -> None:
+    def abandon(self, task: registry.Task) -> None:
         """Let go of a task that another instance has taken on."""
         self.ctx.counters.count("work.forgotten")
-        self.ctx.registry.leave(task, None)
+        self.ctx.registry.remove(task, None)
 
-    def _leave(self, task: registry.Task) -> None:
+    def _finish(self, task: registry.Task) -> None:
         row = task.row
-        self.ctx.registry.leave(task, row)
+        self.ctx.registry.remove(task, row)
         self.ctx.counters.count(f"work.ended.{row.state.value}")
-        for listener in self.ctx.on_end:
+        for listener in self.ctx.end_listeners:
             listener(outcomes.outcome_of(row), row)
 
     def _stored_checkpoint(self, row: messages.WorkRow) -> str:
--- a/tests/control/steps/control_steps.py
+++ b/tests/control/steps/control_steps.py
@@ -49,7 +49,7 @@
     def wall(self):
         return self.now
 
-    def on_worker(self, name):
+    def requests_on_worker(self, name):
         return list(self.tasks.values())
 
     def add(self, name, kind, noise, memory=4.0, job="j"):
@@ -191,6 +191,6 @@
     )  # fmt: skip
     places = room.Room(scene.workers, place, scene, scene, count)
     request = scene.tasks["t/noisy"]
-    places.make(request, False, scene.now - seconds)
+    places.make_room(request, False, scene.now - seconds)
     assert places.reservation is None
     assert not places.fits(request)
--- a/tests/jobs/steps/offers_steps.py
+++ b/tests/jobs/steps/offers_steps.py
@@ -10,7 +10,7 @@
 from mangosail.telemetry import counters
 
 #: Rounds of placing between two recordings of the held jobs.
-ROUNDS_A_RECORDING = int(recording.RECORD_INTERVAL / queue.QUIET_INTERVAL)
+ROUNDS_A_RECORDING = int(recording.RECORD_INTERVAL_S / queue.IDLE_PLACE_INTERVAL_S)
 
 
 class Peer:
@@ -56,7 +56,7 @@
     row = types.SimpleNamespace(instance="i", data_centre="here")
     lease = types.SimpleNamespace(row=row, valid=lambda: True)
     count = counters.StatsdCounters(None, 0)
-    return offers.Offers(peers, run, places, lease, clock or memory.Clock(), count)
+    return offers.TaskOffers(peers, run, places, lease, clock or memory.Clock(), count)
 
 
 @given('peers "{names}" that would make room in {rounds:d} rounds')
@@ -83,7 +83,7 @@
     for _ in range(rounds):
         if turned:
             context.peers.peers.append(context.peers.peers.pop(0))
-        context.taken = asking.offer(request, True) or asking.clear(request)
+        context.taken = asking.offer(request, True) or asking.request_room(request)
         if context.taken:
             return
 
@@ -117,7 +117,7 @@
 def peer_offers(context, name, cpus, clear=False):
     scene = context.scene
     offer = messages.Offer("peer", crowded.task(name, cpus), True, clear)
-    context.answer = offers_of(Peers([]), scene, scene.room).take(offer)
+    context.answer = offers_of(Peers([]), scene, scene.room).accept(offer)
     gevent.sleep(0)
 
 
@@ -181,7 +181,7 @@
         context.queue.place()
         if rounds % ROUNDS_A_RECORDING == 0:
             context.queue.recording.record()
-        clock.sleep(queue.QUIET_INTERVAL)
+        clock.sleep(queue.IDLE_PLACE_INTERVAL_S)
 
 
 @then("its task is offered again within {seconds:g} seconds, and not before {least:g}")
--- a/tests/jobs/steps/room_steps.py
+++ b/tests/jobs/steps/room_steps.py
@@ -40,7 +40,7 @@
 @given('the kind of "{name}" was seen to take {cpus:d} cores')
 def seen_to_take(context, name, cpus):
     placer = context.scene.placer
-    kind = work_placing.work_of(crowded.task(name, cpus))
+    kind = work_placing.placement_work(crowded.task(name, cpus))
     measured = resources.Resources(cpus, 2, 0, 1)
     placer.sizes.learn(f"{kind.team}/{kind.kind}", measured)
 
@@ -74,7 +74,9 @@
     scene, request = context.scene, context.request
     assert scene.room.fits(request)
     scene.room.started(request, True)
-    scene.run(scene.placer.candidates(work_placing.work_of(request))[0].name, request)
+    scene.run(
+        scene.placer.candidates(work_placing.placement_work(request))[0].name, request
+    )
 
 
 @when('the batch tasks end and "{name}" is asked for no more')
@@ -86,7 +88,7 @@
             task_id = work_messages.task_id_of(request)
             scene.workers.get(worker).ledger.release(task_id)
     assert not scene.room.fits(crowded.task("other", 6))
-    scene.clock.sleep(room.KEPT_TERM)
+    scene.clock.sleep(room.RESERVATION_TERM_S)
 
 
 @then("a batch task of {cpus:d} cores fits")
--- a/tests/support/crowded.py
+++ b/tests/support/crowded.py
@@ -25,7 +25,7 @@
             self.workers, self.placer, self, self.clock, self.counters
         )
 
-    def on_worker(self, worker):
+    def requests_on_worker(self, worker):
         return list(self.hands[worker])
 
     def evict(self, task_id, reason):
@@ -47,13 +47,13 @@
         return result.Err("not_run_here")
 
     def run(self, worker, request):
-        work = work_placing.work_of(request)
+        work = work_placing.placement_work(request)
         self.workers.get(worker).ledger.add(work.task_id, work.needs)
         self.hands[worker].append(request)
 
     def find_no_room(self, request):
         assert not self.room.fits(request)
-        self.room.make(request, True, self.clock.now)
+        self.room.make_room(request, True, self.clock.now)
         gevent.sleep(0)
 
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -213,7 +213,7 @@
             world.clock,
             self.counters,
             store=Objects(world),
-            gone=lambda name: getattr(world.workers.get(name), "gone", False),
+            is_worker_gone=lambda name: getattr(world.workers.get(name), "gone", False),
             spawn=lambda function, *args: function(*args),
         )
 
--- a/tests/work/machine.py
+++ b/tests/work/machine.py
@@ -65,7 +65,7 @@
         if answer.is_err() or answer.ok_value is None:
             return
         outcome = answer.ok_value
-        if outcome.outcome == messages.Told.NOT_RUN.value:
+        if outcome.outcome == messages.OutcomeKind.NOT_RUN.value:
             self.said_not_run.add(f"team/{outcome.request_id}")
         if outcome.retry_after is None:
             first = self.told.setdefault(outcome.request_id, outcome)
