--- a/src/mangosail/clock.py
+++ b/src/mangosail/clock.py
@@ -1,7 +1,7 @@
 """Clocks: monotonic time for deadlines in a process, wall time between processes.
 
 Deadlines are stored, never durations. A wall-clock deadline that crosses a
-process boundary is shortened by `CLOCK_SKEW_MARGIN` on the receiving side's
+process boundary is shortened by `CLOCK_SKEW_MARGIN_S` on the receiving side's
 behalf, so that the sender's view of it always ends later.
 """
 
@@ -11,7 +11,7 @@
 import gevent
 
 #: Largest difference in seconds between two wall clocks that leases allow for.
-CLOCK_SKEW_MARGIN = 0.25
+CLOCK_SKEW_MARGIN_S = 0.25
 
 
 class Clock(t.Protocol):
--- a/src/mangosail/codec.py
+++ b/src/mangosail/codec.py
@@ -15,7 +15,7 @@
 
 #: What decoding fails with. Text that is nested too deep, or holds half of a character
 #: that takes two, ends in the last two.
-FAULTS = (
+DECODE_ERRORS = (
     msgspec.DecodeError,
     msgspec.ValidationError,
     RecursionError,
@@ -39,7 +39,7 @@
     """
     try:
         return msgspec.json.decode(text, type=kind, strict=strict)
-    except FAULTS as exc:
+    except DECODE_ERRORS as exc:
         raise DecodeError(str(exc)) from exc
 
 
@@ -52,5 +52,5 @@
     """Return the `kind` that `data` holds, or raise `DecodeError`."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
-    except FAULTS as exc:
+    except DECODE_ERRORS as exc:
         raise DecodeError(str(exc)) from exc
--- a/src/mangosail/control/memory.py
+++ b/src/mangosail/control/memory.py
@@ -37,7 +37,7 @@
         usage = owned.usage
         if usage.memory_gb <= EVICTION_THRESHOLD * owned.worker.capacity.memory_gb:
             return False
-        settled = self.evicted_at.get(owned.name, 0.0) + clocks.CLOCK_SKEW_MARGIN
+        settled = self.evicted_at.get(owned.name, 0.0) + clocks.CLOCK_SKEW_MARGIN_S
         if usage.measured_at <= settled or not tasks:
             return True
         worst = max(tasks, key=lambda request: overshoot(usage, request))
--- a/src/mangosail/front/app.py
+++ b/src/mangosail/front/app.py
@@ -22,7 +22,7 @@
 log = logbook.Logger("front")
 
 #: What a reason looks like; other titles are falcon's own, in prose.
-REASON = re.compile("[a-z][a-z0-9_]*")
+REASON_PATTERN = re.compile("[a-z][a-z0-9_]*")
 #: Reasons of falcon's own errors, by status.
 FALCON_REASONS = {404: "unknown_route", 405: "wrong_method", 400: "malformed"}
 
@@ -30,9 +30,9 @@
 def create(front: context.Front, administration: settings.Administration) -> falcon.App:
     """Return the WSGI application."""
     app = falcon.App()
-    errors = Errors(front)
-    app.add_error_handler(Exception, errors.on_fault)
-    app.add_error_handler(falcon.HTTPError, errors.on_refusal)
+    errors = ErrorHandlers(front)
+    app.add_error_handler(Exception, errors.on_exception)
+    app.add_error_handler(falcon.HTTPError, errors.on_http_error)
     app.add_middleware(timing.Timing(front))
     app.add_route("/v1/services/{service}/{operation}", services.ServiceResource(front))
     app.add_route("/v1/work/{request_id}", outcomes.WorkResource(front))
@@ -49,13 +49,13 @@
     return app
 
 
-class Errors:
+class ErrorHandlers:
     """Writes errors as ``{title, description, outcome}`` and counts them."""
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
 
-    def on_refusal(
+    def on_http_error(
         self,
         req: falcon.Request,
         resp: falcon.Response,
@@ -70,7 +70,7 @@
             resp.set_header(name, value)
         self._write(req, resp, reason, error.description, "not_run")
 
-    def on_fault(
+    def on_exception(
         self,
         req: falcon.Request,
         resp: falcon.Response,
@@ -103,6 +103,6 @@
 
 def reason_of(error: falcon.HTTPError) -> str:
     """Return the reason that an error's title, or else its status, stands for."""
-    if error.title and REASON.fullmatch(error.title):
+    if error.title and REASON_PATTERN.fullmatch(error.title):
         return error.title
     return FALCON_REASONS.get(error.status_code, f"status_{error.status_code}")
--- a/src/mangosail/front/batch.py
+++ b/src/mangosail/front/batch.py
@@ -10,8 +10,8 @@
 from mangosail.jobs import errors, validation
 
 #: Jobs on one page unless the caller says otherwise, and the most there can be.
-PAGE = 50
-LARGEST_PAGE = 200
+DEFAULT_PAGE_SIZE = 50
+MAX_PAGE_SIZE = 200
 
 
 class JobsResource:
@@ -22,8 +22,8 @@
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Accept a job; accepted means that it is recorded."""
-        identity = self.front.identify(req)
-        read = validation.parse_job(identity.team, self.front.body(req))
+        identity = self.front.authenticate(req)
+        read = validation.parse_job(identity.team, self.front.read_body(req))
         if isinstance(read, result.Err):
             self._refuse(resp, read.err_value)
             return
@@ -45,9 +45,9 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Return the team's jobs by id, a page at a time."""
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         limit = req.get_param_as_int(
-            "limit", min_value=1, max_value=LARGEST_PAGE, default=PAGE
+            "limit", min_value=1, max_value=MAX_PAGE_SIZE, default=DEFAULT_PAGE_SIZE
         )
         after = req.get_param("after", default="")
         page = self.front.jobs.page(identity.team, after, limit)
@@ -57,14 +57,14 @@
         self, req: falcon.Request, resp: falcon.Response, job_id: str
     ) -> None:
         """Return how far a job has come."""
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         self._answer(resp, self.front.jobs.look_up(identity.team, job_id))
 
     def on_delete_job(
         self, req: falcon.Request, resp: falcon.Response, job_id: str
     ) -> None:
         """Cancel a job; accepted means that no waiting task of it will start."""
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         cancelled = self.front.jobs.cancel(identity.team, job_id)
         self._answer(resp, cancelled)
         if isinstance(cancelled, result.Ok):
--- a/src/mangosail/front/context.py
+++ b/src/mangosail/front/context.py
@@ -23,15 +23,15 @@
 from mangosail.work import runner as work_runner
 
 #: Seconds after which a caller that came before the settings should come back.
-COME_BACK = 1
+RETRY_AFTER_S = 1
 #: Largest body that is read, in bytes.
-BODY_LIMIT = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 #: Longest time in seconds that a caller may ask to wait.
-LONGEST_TIMEOUT = 3600.0
+MAX_TIMEOUT_S = 3600.0
 #: Seconds in which a body must have come.
-BODY_TERM = 5.0
+BODY_TIMEOUT_S = 5.0
 #: A request id: part of task ids and of rows' keys, so without their separators.
-REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,128}")
+REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}")
 
 
 @dataclasses.dataclass(kw_only=True, eq=False, slots=True)
@@ -42,7 +42,7 @@
     quotes: quote_service.Quotes
     runner: work_runner.Runner
     jobs: queue.JobQueue
-    owned: workers.Workers
+    owned_workers: workers.Workers
     watches: streams.Watches
     clock: clocks.Clock
     counters: telemetry.Counters
@@ -58,7 +58,7 @@
         """Return the status that operators see."""
         return self.describer.describe(ready=self.ready, draining=self.draining)
 
-    def identify(self, req: falcon.Request) -> state.Identity:
+    def authenticate(self, req: falcon.Request) -> state.Identity:
         """Return whose request this is, or refuse it."""
         scheme, _, token = (req.auth or "").partition(" ")
         if scheme.lower() != "bearer" or not token:
@@ -67,14 +67,16 @@
         if identity is None and not self.settings.were_read():
             # The token may well be good: to call it unknown would send an
             # operator looking for a revoked one.
-            raise falcon.HTTPServiceUnavailable(title="starting", retry_after=COME_BACK)
+            raise falcon.HTTPServiceUnavailable(
+                title="starting", retry_after=RETRY_AFTER_S
+            )
         if identity is None:
             raise falcon.HTTPUnauthorized(title="token_unknown")
         return identity
 
-    def body(self, req: falcon.Request) -> t.Any:
+    def read_body(self, req: falcon.Request) -> t.Any:
         """Return the request's JSON body, or refuse it."""
-        data = self._read_body(req)
+        data = self._read_body_bytes(req)
         if not data:
             return None
         media_type = (req.content_type or falcon.MEDIA_JSON).partition(";")[0]
@@ -101,13 +103,13 @@
         seconds = default if text is None else timeout_of(text)
         if seconds == 0:
             raise falcon.HTTPGatewayTimeout(title="deadline")
-        return self.clock.monotonic() + min(seconds, LONGEST_TIMEOUT)
+        return self.clock.monotonic() + min(seconds, MAX_TIMEOUT_S)
 
     def read(
         self, req: falcon.Request, service: str, operation: str
     ) -> messages.ServiceRequest:
         """Return the checked request for a service's operation."""
-        identity = self.identify(req)
+        identity = self.authenticate(req)
         declared = self.settings.operation(identity.team, service, operation)
         if declared is None:
             raise falcon.HTTPNotFound(
@@ -122,32 +124,32 @@
             service=service,
             operation=operation,
             declared=declared,
-            body=self.body(req),
+            body=self.read_body(req),
             deadline=self.deadline(req, declared.deadline_seconds),
         )
 
-    def _read_body(self, req: falcon.Request) -> bytes:
+    def _read_body_bytes(self, req: falcon.Request) -> bytes:
         """Return the whole body, with a length or chunked, within its bounds."""
-        if (req.content_length or 0) > BODY_LIMIT:
-            raise oversized()
+        if (req.content_length or 0) > MAX_BODY_BYTES:
+            raise body_too_large()
         try:
-            with gevent.Timeout(BODY_TERM):
-                data = req.env["wsgi.input"].read(BODY_LIMIT + 1)
+            with gevent.Timeout(BODY_TIMEOUT_S):
+                data = req.env["wsgi.input"].read(MAX_BODY_BYTES + 1)
         except gevent.Timeout as exc:
             raise falcon.HTTPError(408, title="slow_body") from exc
         except OSError as exc:
             raise falcon.HTTPBadRequest(
                 title="malformed", description="the body ended early"
             ) from exc
-        if len(data) > BODY_LIMIT:
-            raise oversized()
+        if len(data) > MAX_BODY_BYTES:
+            raise body_too_large()
         return data
 
 
-def oversized() -> falcon.HTTPError:
+def body_too_large() -> falcon.HTTPError:
     """Return the refusal of a body that is too large."""
     return falcon.HTTPContentTooLarge(
-        title="oversized", description=f"the body: at most {BODY_LIMIT} bytes"
+        title="oversized", description=f"the body: at most {MAX_BODY_BYTES} bytes"
     )
 
 
@@ -156,7 +158,7 @@
     text = req.get_header("Request-Id")
     if text is None:
         return secrets.token_hex(8)
-    if not REQUEST_ID.fullmatch(text):
+    if not REQUEST_ID_PATTERN.fullmatch(text):
         raise falcon.HTTPBadRequest(
             title="bad_request_id",
             description="Request-Id: expected 1 to 128 of A-Z a-z 0-9 . _ : -",
--- a/src/mangosail/front/description.py
+++ b/src/mangosail/front/description.py
@@ -21,7 +21,7 @@
     runner: work_runner.Runner
     settings: state.Settings
     lease: session.Session
-    owned: workers.Workers
+    owned_workers: workers.Workers
     peers: membership.Peers
     clock: clocks.Clock
     counters: telemetry.StatsdCounters
@@ -38,7 +38,7 @@
             "settings_age": self.settings.age(),
             "lease_left": self.lease.deadline - self.clock.monotonic(),
             "lease_holds": self.lease.valid(),
-            "workers": [worker_status(owned) for owned in self.owned],
+            "workers": [worker_status(owned) for owned in self.owned_workers],
             "settings": self.settings.describe(),
             "peers": [peer.listed.name for peer in self.peers.reachable()],
             "counters": self.counters.snapshot(),
--- a/src/mangosail/front/drain.py
+++ b/src/mangosail/front/drain.py
@@ -13,7 +13,7 @@
 log = logbook.Logger("front")
 
 #: Seconds in which the answer reaches the caller before the stop begins.
-ANSWER_TIME = 0.2
+STOP_DELAY_S = 0.2
 
 
 def stop_self() -> None:
@@ -33,9 +33,9 @@
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Begin the planned stop; others than the administrator are refused."""
         if not self.administration.is_administrator(req):
-            self.administration.front.identify(req)
+            self.administration.front.authenticate(req)
             raise falcon.HTTPForbidden(title="not_administrator")
         log.info("drain asked for")
-        gevent.spawn_later(ANSWER_TIME, stop_self)
+        gevent.spawn_later(STOP_DELAY_S, stop_self)
         resp.status = falcon.HTTP_ACCEPTED
         resp.text = codec.to_json({"draining": True})
--- a/src/mangosail/front/forwarding.py
+++ b/src/mangosail/front/forwarding.py
@@ -12,14 +12,14 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds of a caller's time kept back for the way home from a peer.
-MARGIN = 0.02
+RETURN_MARGIN_S = 0.02
 #: Peers that one quote is forwarded to, one after the other.
-MOST_PEERS = 2
+MAX_PEERS = 2
 #: Share of the remaining time that the first of two peers is given.
 FIRST_PEER_SHARE = 0.6
 
 #: What a peer without room refuses with.
-NO_ROOM = placement_errors.Reason.NO_CAPACITY.value
+NO_CAPACITY = placement_errors.Reason.NO_CAPACITY.value
 OK = 200
 UNAVAILABLE = 503
 TIMED_OUT = 504
@@ -32,8 +32,8 @@
         self,
         peers: membership.Peers,
         data_centre: str,
-        bare: cabc.Callable[[], bool],
-        retry: cabc.Callable[[str], bool],
+        has_no_workers: cabc.Callable[[], bool],
+        spend_retry: cabc.Callable[[str], bool],
         refuse: cabc.Callable[[int, str, str], messages.Answer],
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -41,9 +41,9 @@
         self.peers = peers
         self.data_centre = data_centre
         #: Tells whether this instance has no worker of its own to use.
-        self.bare = bare
+        self.has_no_workers = has_no_workers
         #: Takes an extra attempt, for the reason given, from the budget of all quotes.
-        self.retry = retry
+        self.spend_retry = spend_retry
         self.refuse = refuse
         self.clock = clock
         self.counters = counters
@@ -59,15 +59,15 @@
         reason = ""
         peers = self._peers_for(request.declared.needs.as_resources())
         for turn, peer in enumerate(peers):
-            if turn and not self.retry(f"forward_{reason}"):
+            if turn and not self.spend_retry(f"forward_{reason}"):
                 break
-            left = request.deadline - self.clock.monotonic() - MARGIN
+            left = request.deadline - self.clock.monotonic() - RETURN_MARGIN_S
             if left <= 0:
                 return self.refuse(TIMED_OUT, "deadline", outcome)
             if turn + 1 < len(peers):
                 # A frozen peer never answers: keep time to ask the other.
                 left *= FIRST_PEER_SHARE
-            answer = self._ask(peer, request, left)
+            answer = self._call_peer(peer, request, left)
             if isinstance(answer, result.Err):
                 reason = "peer_lost"
                 outcome = messages.UNKNOWN
@@ -77,7 +77,7 @@
             if may_have_run:
                 outcome = messages.UNKNOWN
             if reply.status != UNAVAILABLE:
-                return unpack(reply, outcome)
+                return from_forwarded_answer(reply, outcome)
             if may_have_run or not reason:
                 # An attempt that may have run tells a caller more than a later
                 # peer's lack of room.
@@ -95,28 +95,36 @@
         Where it leaves none, a peer may have taken a worker since, or ended what filled
         its own: all are asked for an instance that depends on them, else a few.
         """
-        peers = self.peers.with_room(needs, self.data_centre)
-        if not peers and not self.bare() and not self.retry("forward_no_room"):
+        peers = self.peers.with_capacity(needs, self.data_centre)
+        if (
+            not peers
+            and not self.has_no_workers()
+            and not self.spend_retry("forward_no_room")
+        ):
             return []
         if len(peers) <= 1:
-            peers += self.peers.without_room(needs, self.data_centre)
-            peers.sort(key=membership.unlikely)
-        return peers[:MOST_PEERS]
+            peers += self.peers.without_capacity(needs, self.data_centre)
+            peers.sort(key=membership.preference_key)
+        return peers[:MAX_PEERS]
 
-    def _ask(
+    def _call_peer(
         self, peer: membership.Peer, request: messages.ServiceRequest, timeout: float
     ) -> result.Result[messages.ForwardedAnswer, str]:
         self.counters.count("front.forwarded")
-        message = forwarded(request, timeout)
+        message = to_forwarded(request, timeout)
         answer = peer.channel.call(methods.FORWARD, message, timeout)
-        peer.silent = isinstance(answer, result.Err)
-        peer.full = isinstance(answer, result.Ok) and answer.ok_value.body == NO_ROOM
+        peer.unresponsive = isinstance(answer, result.Err)
+        peer.at_capacity = (
+            isinstance(answer, result.Ok) and answer.ok_value.body == NO_CAPACITY
+        )
         if isinstance(answer, result.Err):
             self.counters.count(f"front.forward_failed.{answer.err_value}")
         return answer
 
 
-def forwarded(request: messages.ServiceRequest, timeout: float) -> messages.Forwarded:
+def to_forwarded(
+    request: messages.ServiceRequest, timeout: float
+) -> messages.Forwarded:
     """Return `request` as it is passed on, with what is left of its time."""
     return messages.Forwarded(
         request.request_id,
@@ -128,7 +136,9 @@
     )
 
 
-def unpack(answer: messages.ForwardedAnswer, outcome: str) -> messages.Answer:
+def from_forwarded_answer(
+    answer: messages.ForwardedAnswer, outcome: str
+) -> messages.Answer:
     """Return what a peer answered as if it had been answered here.
 
     `outcome` is that of all attempts, the peer's and others, if none served it.
--- a/src/mangosail/front/outcomes.py
+++ b/src/mangosail/front/outcomes.py
@@ -17,7 +17,7 @@
         self, req: falcon.Request, resp: falcon.Response, request_id: str
     ) -> None:
         """Return what is known of a piece of work."""
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         found = self.front.runner.look_up(identity.team, request_id)
         if isinstance(found, result.Err):
             replies.refuse_work(resp, found.err_value)
@@ -33,5 +33,5 @@
 
         Works on an id that nobody has used yet, too: it never runs from then on.
         """
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         replies.answer_work(resp, self.front.runner.cancel(identity.team, request_id))
--- a/src/mangosail/front/peering.py
+++ b/src/mangosail/front/peering.py
@@ -6,7 +6,7 @@
 from mangosail.front import context, forwarding, messages
 
 
-class Peering:
+class PeerHandlers:
     """Answers the methods of `front.methods`."""
 
     def __init__(self, front: context.Front) -> None:
@@ -31,7 +31,7 @@
             self.front.clock.monotonic() + message.timeout,
         )
         answer = self.front.quotes.serve(request, forward=False)
-        return packed(message.request_id, answer)
+        return to_forwarded_answer(message.request_id, answer)
 
     def describe(self, message: messages.DescribeRequest) -> messages.Description:
         """Return our status for the operator of a peer."""
@@ -40,7 +40,9 @@
         )
 
 
-def packed(request_id: str, answer: messages.Answer) -> messages.ForwardedAnswer:
+def to_forwarded_answer(
+    request_id: str, answer: messages.Answer
+) -> messages.ForwardedAnswer:
     """Return an answer as it goes back to the peer that passed the request on."""
     if isinstance(answer, result.Err):
         refusal = answer.err_value
--- a/src/mangosail/front/quotes.py
+++ b/src/mangosail/front/quotes.py
@@ -20,7 +20,7 @@
 log = logbook.Logger("quotes")
 
 #: Attempts that one quote may cost here, the first included.
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 #: Retries that requests earn, as a share of them, and how many may be saved up.
 RETRY_SHARE = 0.10
 RETRY_BURST = 10.0
@@ -29,26 +29,28 @@
 HEDGE_BURST = 5.0
 #: Share of a worker's slots that must be free for a hedge: extra attempts must
 #: not take the room that first attempts need, which would then be refused.
-HEDGE_ROOM = 0.25
+HEDGE_FREE_SLOT_SHARE = 0.25
 #: Seconds that a first attempt waits at most for places that extra ones hold,
 #: and between looks; those end within milliseconds, a refusal costs a caller more.
-ROOM_WAIT = 0.05
-ROOM_INTERVAL = 0.005
+SLOT_WAIT_S = 0.05
+SLOT_POLL_INTERVAL_S = 0.005
 #: Seconds that a hedge waits at least, however fast answers are.
-SHORTEST_PATIENCE = 0.01
+MIN_HEDGE_DELAY_S = 0.01
 #: Share of the caller's time after which a silent first attempt counts as lost.
-LOST_SHARE = 0.5
+LOST_AFTER_SHARE = 0.5
 #: Seconds after which a caller that found no room should come back.
-COME_BACK = 1.0
+RETRY_AFTER_S = 1.0
 #: Own workers, and peers, that the line of a refusal tells of; it comes with each one.
-MOST_TOLD = 8
+MAX_LOGGED = 8
 #: Refusals after which a peer may still have room.
-FORWARDED_REASONS = frozenset(
+FORWARDABLE_REASONS = frozenset(
     {placement_errors.Reason.NO_CAPACITY, placement_errors.Reason.DEADLINE}
 )
 
 #: What a quote is told that found no owner to ask.
-NO_ROOM = placement_errors.NotPlaced(placement_errors.Reason.NO_CAPACITY, COME_BACK)
+NO_CAPACITY = placement_errors.NotPlaced(
+    placement_errors.Reason.NO_CAPACITY, RETRY_AFTER_S
+)
 
 UNAVAILABLE = 503
 TIMED_OUT = 504
@@ -59,25 +61,27 @@
 
     def __init__(
         self,
-        place: placer.Placer,
+        task_placer: placer.Placer,
         peers: membership.Peers,
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        seen: tails.Tails,
+        quote_tails: tails.Tails,
     ) -> None:
-        self.placer = place
+        self.placer = task_placer
         self.lease = lease
         self.clock = clock
         self.counters = counters
-        self.attempts = attempts.Attempts(place, lease, clock, counters, seen)
+        self.attempts = attempts.Attempts(
+            task_placer, lease, clock, counters, quote_tails
+        )
         self.latencies = answer_times.AnswerTimes()
         self.retries = budget.Budget(RETRY_SHARE, RETRY_BURST)
         self.hedges = budget.Budget(HEDGE_SHARE, HEDGE_BURST)
         self.forwarding = forwarding.Forwarding(
             peers,
             lease.row.data_centre,
-            lambda: not any(owned.accepts() for owned in place.owned),
+            lambda: not any(owned.accepts() for owned in task_placer.owned),
             lambda reason: self.spend(self.retries, "retry", reason),
             self.refuse,
             clock,
@@ -90,7 +94,7 @@
         """Answer `request` from here, or from a peer if `forward` allows."""
         self.retries.earn()
         self.hedges.earn()
-        race = Race(self, request)
+        race = HedgedRequest(self, request)
         answer = race.run()
         if answer is not None:
             return answer
@@ -98,11 +102,11 @@
         outcome = messages.UNKNOWN if race.tried else messages.NOT_RUN
         if self.clock.monotonic() >= request.deadline:
             return self.refuse(TIMED_OUT, "deadline", outcome)
-        if forward and race.refused.reason in FORWARDED_REASONS:
+        if forward and race.not_placed.reason in FORWARDABLE_REASONS:
             passed_on = self.forwarding.forward(request, outcome)
             if passed_on is not None:
                 return passed_on
-        return self._not_placed(race.refused, outcome)
+        return self._refuse_not_placed(race.not_placed, outcome)
 
     def candidates(
         self, request: messages.ServiceRequest, tried: cabc.Sequence[attempts.Attempt]
@@ -117,44 +121,46 @@
         status: int,
         reason: str,
         outcome: str,
-        retry_after: float | None = COME_BACK,
+        retry_after: float | None = RETRY_AFTER_S,
     ) -> messages.Answer:
         """Return a refusal, and count it."""
         self.counters.count(f"front.refused.{reason}")
         return result.Err(messages.Refusal(status, reason, retry_after, outcome))
 
-    def _not_placed(
-        self, refused: placement_errors.NotPlaced, outcome: str
+    def _refuse_not_placed(
+        self, not_placed: placement_errors.NotPlaced, outcome: str
     ) -> messages.Answer:
-        late = refused.reason is placement_errors.Reason.DEADLINE
+        late = not_placed.reason is placement_errors.Reason.DEADLINE
         status = TIMED_OUT if late else UNAVAILABLE
-        if refused.reason is placement_errors.Reason.NO_CAPACITY:
-            self._log_no_room()
-        return self.refuse(status, refused.reason.value, outcome, refused.retry_after)
+        if not_placed.reason is placement_errors.Reason.NO_CAPACITY:
+            self._log_no_capacity()
+        return self.refuse(
+            status, not_placed.reason.value, outcome, not_placed.retry_after
+        )
 
-    def _log_no_room(self) -> None:
+    def _log_no_capacity(self) -> None:
         """Say what own workers have left, and what peers last told of theirs."""
         log.info(
             "no room",
             lease_holds=self.lease.valid(),
             workers=[
                 owned.summary()
-                for owned in itertools.islice(self.placer.owned, MOST_TOLD)
+                for owned in itertools.islice(self.placer.owned, MAX_LOGGED)
             ],
-            peers=self.forwarding.peers.told_slots(MOST_TOLD),
+            peers=self.forwarding.peers.reported_slots(MAX_LOGGED),
             extra=len(self.attempts.extra),
         )
 
-    def spend(self, extra: budget.Budget, what: str, reason: str) -> bool:
+    def spend(self, attempt_budget: budget.Budget, kind: str, reason: str) -> bool:
         """Take an extra attempt from a budget, and count it or its refusal."""
-        if not extra.spend():
-            self.counters.count(f"front.{what}_refused.budget")
+        if not attempt_budget.spend():
+            self.counters.count(f"front.{kind}_refused.budget")
             return False
-        self.counters.count(f"front.{what}.{reason}")
+        self.counters.count(f"front.{kind}.{reason}")
         return True
 
 
-class Race:
+class HedgedRequest:
     """The attempts of one quote on own workers; the first whole answer wins.
 
     The second attempt starts once the first one takes longer than nearly all
@@ -171,56 +177,56 @@
         )
         self.tried: list[attempts.Attempt] = []
         #: Why the last attempt found no place.
-        self.refused = NO_ROOM
-        now = self.began_at = quotes.clock.monotonic()
-        self.patience = max(quotes.latencies.p95(request.kind), SHORTEST_PATIENCE)
-        self.hedge_at = now + self.patience
-        self.lost_at = now + (request.deadline - now) * LOST_SHARE
+        self.not_placed = NO_CAPACITY
+        now = self.started_at = quotes.clock.monotonic()
+        self.hedge_delay = max(quotes.latencies.p95(request.kind), MIN_HEDGE_DELAY_S)
+        self.hedge_at = now + self.hedge_delay
+        self.lost_at = now + (request.deadline - now) * LOST_AFTER_SHARE
 
     def run(self) -> messages.Answer | None:
         """Return the answer; None if none can be had from own workers."""
-        self._await_extra()
+        self._wait_for_slot()
         try:
-            if not self._begin(again=False):
+            if not self._start_attempt(allow_tried=False):
                 return None
-            return self._wait()
+            return self._await_answer()
         finally:
             for attempt in self.tried:
                 self.quotes.attempts.cancel(attempt)
 
-    def _await_extra(self) -> None:
+    def _wait_for_slot(self) -> None:
         """Wait for a place while extra attempts hold what this one needs."""
         clock = self.quotes.clock
-        until = min(clock.monotonic() + ROOM_WAIT, self.request.deadline)
+        until = min(clock.monotonic() + SLOT_WAIT_S, self.request.deadline)
         while self.quotes.attempts.extra and clock.monotonic() < until:
             if self.quotes.candidates(self.request, ()):
                 return
             self.quotes.counters.count("front.waited.extra_attempts")
-            clock.sleep(ROOM_INTERVAL)
+            clock.sleep(SLOT_POLL_INTERVAL_S)
 
-    def _wait(self) -> messages.Answer | None:
+    def _await_answer(self) -> messages.Answer | None:
         waiting = 1
         while True:
-            ended = self._next()
+            ended = self._next_ended()
             if ended is None:
                 if self.quotes.clock.monotonic() >= self.request.deadline:
                     self._log_out_of_time()
                     return self.quotes.refuse(TIMED_OUT, "deadline", messages.UNKNOWN)
-                waiting += self._add()
+                waiting += self._add_attempt()
                 continue
             waiting -= 1
             answer = ended.answer
             if isinstance(answer, result.Ok):
-                return result.Ok(self._served(ended, answer.ok_value.answer))
+                return result.Ok(self._to_served(ended, answer.ok_value.answer))
             assert answer is not None
             reason = type(answer.err_value).__name__.lower()
             if waiting:
                 continue
-            if not self._another(reason):
+            if not self._may_retry(reason):
                 return self.quotes.refuse(
                     UNAVAILABLE, f"target_{reason}", messages.UNKNOWN
                 )
-            if not self._begin(again=True):
+            if not self._start_attempt(allow_tried=True):
                 return None
             waiting += 1
 
@@ -230,13 +236,13 @@
         log.info(
             "out of time",
             request=self.request.request_id,
-            taken=round(now - self.began_at, 3),
+            taken=round(now - self.started_at, 3),
             over=round(now - self.request.deadline, 3),
-            patience=round(self.patience, 3),
-            attempts=[attempt.summary(self.began_at) for attempt in self.tried],
+            patience=round(self.hedge_delay, 3),
+            attempts=[attempt.summary(self.started_at) for attempt in self.tried],
         )
 
-    def _next(self) -> attempts.Attempt | None:
+    def _next_ended(self) -> attempts.Attempt | None:
         """Return the next attempt that ended, or None when it takes too long."""
         until = min(self.hedge_at, self.lost_at, self.request.deadline)
         left = until - self.quotes.clock.monotonic()
@@ -245,71 +251,74 @@
         except gevent.queue.Empty:
             return None
 
-    def _add(self) -> int:
+    def _add_attempt(self) -> int:
         """Start another attempt beside those that run, and return their number."""
         now = self.quotes.clock.monotonic()
         never = self.request.deadline
         if now >= self.lost_at:
             self.lost_at = self.hedge_at = never
-            if not self._another("silent"):
+            if not self._may_retry("silent"):
                 return 0
-            return int(self._begin(again=True, fresh=True))
+            return int(self._start_attempt(allow_tried=True, new_connection=True))
         if now < self.hedge_at:
             return 0
         self.hedge_at = never
-        if not self._room_for_hedge():
+        if not self._slots_for_hedge():
             self.quotes.counters.count("front.hedge_refused.room")
             return 0
         if not self.quotes.spend(self.quotes.hedges, "hedge", "slow"):
             return 0
-        return int(self._begin(again=False))
+        return int(self._start_attempt(allow_tried=False))
 
-    def _room_for_hedge(self) -> bool:
+    def _slots_for_hedge(self) -> bool:
         return any(
-            owned.ledger.free().slots > HEDGE_ROOM * owned.worker.capacity.slots
+            owned.ledger.free().slots
+            > HEDGE_FREE_SLOT_SHARE * owned.worker.capacity.slots
             for owned in self.quotes.candidates(self.request, self.tried)
         )
 
-    def _another(self, reason: str) -> bool:
+    def _may_retry(self, reason: str) -> bool:
         """Tell whether the retry budget and the caller's time allow an attempt."""
-        if len(self.tried) >= MOST_ATTEMPTS:
+        if len(self.tried) >= MAX_ATTEMPTS:
             self.quotes.counters.count("front.retry_refused.attempts")
             return False
         if self.quotes.clock.monotonic() >= self.request.deadline:
             return False
         return self.quotes.spend(self.quotes.retries, "retry", reason)
 
-    def _begin(self, again: bool, fresh: bool = False) -> bool:
+    def _start_attempt(self, allow_tried: bool, new_connection: bool = False) -> bool:
         """Start an attempt, on a new connection if `fresh`; tell whether it was.
 
         A worker that was tried is used only if `again` allows it and no other
         has room.
         """
         avoid = names_of(self.tried)
-        begun = self._attempt(avoid, fresh)
-        if isinstance(begun, result.Err) and again and avoid:
-            begun = self._attempt(frozenset(), fresh)
+        begun = self._place_attempt(avoid, new_connection)
+        if isinstance(begun, result.Err) and allow_tried and avoid:
+            begun = self._place_attempt(frozenset(), new_connection)
         if isinstance(begun, result.Err):
-            self.refused = begun.err_value
+            self.not_placed = begun.err_value
             return False
         self.tried.append(begun.ok_value)
         return True
 
-    def _attempt(
-        self, avoid: frozenset[str], fresh: bool
+    def _place_attempt(
+        self, avoid: frozenset[str], new_connection: bool
     ) -> result.Result[attempts.Attempt, placement_errors.NotPlaced]:
-        return self.quotes.attempts.begin(
-            self.request, avoid, self.answers, fresh, self.patience
+        return self.quotes.attempts.start(
+            self.request, avoid, self.answers, new_connection, self.hedge_delay
         )
 
-    def _served(self, ended: attempts.Attempt, answer: object) -> messages.Served:
+    def _to_served(self, ended: attempts.Attempt, answer: object) -> messages.Served:
         now = self.quotes.clock.monotonic()
         self.quotes.latencies.observe(self.request.kind, now - ended.started_at)
         if ended is not self.tried[0]:
             self.quotes.counters.count("front.extra_attempt_won")
-        return messages.Served(answer, ended.owned.name, ended.owned.worker.data_centre)
+        return messages.Served(
+            answer, ended.owned_worker.name, ended.owned_worker.worker.data_centre
+        )
 
 
 def names_of(tried: cabc.Iterable[attempts.Attempt]) -> frozenset[str]:
     """Return the names of the workers that were tried."""
-    return frozenset(attempt.owned.name for attempt in tried)
+    return frozenset(attempt.owned_worker.name for attempt in tried)
--- a/src/mangosail/front/replies.py
+++ b/src/mangosail/front/replies.py
@@ -21,7 +21,7 @@
         "retry_after": refusal.retry_after,
     }
     resp.text = codec.to_json(body)
-    headers.come_back(resp, refusal.retry_after)
+    headers.set_retry_after(resp, refusal.retry_after)
 
 
 def answer_work(
@@ -36,7 +36,7 @@
     resp.text = codec.to_json(outcome)
     if outcome.retry_after is not None:
         resp.status = falcon.HTTP_ACCEPTED
-        headers.come_back(resp, outcome.retry_after)
+        headers.set_retry_after(resp, outcome.retry_after)
 
 
 def refuse_work(resp: falcon.Response, error: runner.SubmitError) -> None:
@@ -62,4 +62,4 @@
     resp.status = falcon.HTTP_SERVICE_UNAVAILABLE
     body = {"title": reason, "outcome": "unknown", "retry_after": retry_after}
     resp.text = codec.to_json(body)
-    headers.come_back(resp, retry_after)
+    headers.set_retry_after(resp, retry_after)
--- a/src/mangosail/front/server.py
+++ b/src/mangosail/front/server.py
@@ -12,25 +12,25 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds that a connection may idle between requests, and a write may take.
-IDLE_TERM = 60.0
+IDLE_TIMEOUT_S = 60.0
 #: Seconds in which a request's line and headers must have come.
-HEADERS_TERM = 5.0
+HEADERS_TIMEOUT_S = 5.0
 #: Seconds and bytes spent on what is left of a body that nobody wants.
-DISCARD_TERM = 2.0
-DISCARD_LIMIT = 4 * 1024 * 1024
+DISCARD_TIMEOUT_S = 2.0
+MAX_DISCARD_BYTES = 4 * 1024 * 1024
 #: Connections held at a time; further ones wait to be accepted.
-MOST_CONNECTIONS = 4096
+MAX_CONNECTIONS = 4096
 #: Requests in hand at a time; further ones are refused at once.
-MOST_REQUESTS = 512
+MAX_REQUESTS = 512
 #: Seconds after which a caller that was refused for that should come back.
-COME_BACK = 1
+RETRY_AFTER_S = 1
 #: Paths that are answered however many requests are in hand.
-ALWAYS = ("/healthz", "/readyz")
+PROBE_PATHS = ("/healthz", "/readyz")
 
 OVERLOADED = "overloaded"
 
 
-class Gate:
+class RequestLimiter:
     """The application, with the requests in hand counted and bounded."""
 
     def __init__(self, app: t.Any, counters: telemetry.Counters) -> None:
@@ -44,9 +44,9 @@
         self, environ: dict[str, t.Any], start_response: cabc.Callable[..., t.Any]
     ) -> cabc.Iterable[bytes]:
         """Serve one request."""
-        if environ["PATH_INFO"] in ALWAYS:
+        if environ["PATH_INFO"] in PROBE_PATHS:
             return self.app(environ, start_response)
-        if self.in_hand >= MOST_REQUESTS:
+        if self.in_hand >= MAX_REQUESTS:
             return self._refuse(start_response)
         self.in_hand += 1
         try:
@@ -62,13 +62,13 @@
             "title": OVERLOADED,
             "description": "too many requests in hand",
             "outcome": "not_run",
-            "retry_after": COME_BACK,
+            "retry_after": RETRY_AFTER_S,
         }
         body = codec.to_json(refusal).encode()
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
-            ("Retry-After", str(COME_BACK)),
+            ("Retry-After", str(RETRY_AFTER_S)),
         ]
         start_response("503 Service Unavailable", headers)
         return [body]
@@ -85,7 +85,7 @@
     def __init__(self, sock: t.Any, *args: t.Any, **kwargs: t.Any) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # Bounds idle connections, and callers that never read their answer.
-        sock.settimeout(IDLE_TERM)
+        sock.settimeout(IDLE_TIMEOUT_S)
         super().__init__(sock, *args, **kwargs)
         #: True from a request's first byte to the end of its answer.
         self.busy = False
@@ -108,7 +108,7 @@
     def read_request(self, raw_requestline: t.Any) -> t.Any:
         """Read the headers within their time; a slow caller is refused."""
         self.busy = True
-        with gevent.Timeout(HEADERS_TERM, SlowRequest("headers")):
+        with gevent.Timeout(HEADERS_TIMEOUT_S, SlowRequest("headers")):
             return super().read_request(raw_requestline)
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
@@ -153,8 +153,8 @@
 
     def _discard(self) -> None:
         body = self.wsgi_input
-        left = DISCARD_LIMIT
-        with gevent.Timeout(DISCARD_TERM, False):
+        left = MAX_DISCARD_BYTES
+        with gevent.Timeout(DISCARD_TIMEOUT_S, False):
             while left > 0:
                 try:
                     data = body.read(min(left, 65536))
@@ -188,7 +188,7 @@
             log=None,
             error_log=None,
             handler_class=Handler,
-            spawn=pool.Pool(MOST_CONNECTIONS),
+            spawn=pool.Pool(MAX_CONNECTIONS),
             **secured,
         )
         self.counters = counters
--- a/src/mangosail/front/settings.py
+++ b/src/mangosail/front/settings.py
@@ -20,15 +20,15 @@
 from mangosail.settings import changes, checks, errors, messages, spread, state
 
 #: What teams and change ids look like; both become parts of row keys.
-NAME = re.compile("[a-z0-9][a-z0-9-]{0,62}")
-CHANGE_ID = re.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+TEAM_NAME_PATTERN = re.compile("[a-z0-9][a-z0-9-]{0,62}")
+CHANGE_ID_PATTERN = re.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 #: Name under which the administrator's changes stand in the history.
 ADMINISTRATOR = "administrator"
 #: Seconds after which a change that is undecided is to be asked for again.
-COME_BACK = 1
+RETRY_AFTER_S = 1
 #: Revisions that one answer lists at most, and unless asked for otherwise.
-LONGEST_HISTORY = 100
-USUAL_HISTORY = 20
+MAX_HISTORY = 100
+DEFAULT_HISTORY = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,10 +85,10 @@
     def author(self, req: falcon.Request, team: str) -> str:
         """Return who operates `team` here, or refuse the request."""
         if self.is_administrator(req):
-            if not NAME.fullmatch(team):
+            if not TEAM_NAME_PATTERN.fullmatch(team):
                 raise falcon.HTTPNotFound(title="unknown_team")
             return ADMINISTRATOR
-        identity = self.front.identify(req)
+        identity = self.front.authenticate(req)
         if identity.team != team:
             self.front.counters.count("settings.refused.other_team")
             raise falcon.HTTPNotFound(title="unknown_team")
@@ -123,7 +123,7 @@
         if self.administration.is_administrator(req):
             teams = sorted(in_force)
         else:
-            teams = [self.administration.front.identify(req).team]
+            teams = [self.administration.front.authenticate(req).team]
             self.administration.author(req, teams[0])
         resp.text = codec.to_json(
             {"teams": {team: in_force[team].version for team in teams}}
@@ -156,7 +156,7 @@
         resp.text = codec.to_json(answer.ok_value)
 
     def _change(self, req: falcon.Request) -> messages.Change:
-        body = self.administration.front.body(req)
+        body = self.administration.front.read_body(req)
         if isinstance(body, dict):
             body.setdefault("change_id", secrets.token_hex(8))
         try:
@@ -165,7 +165,7 @@
             raise falcon.HTTPBadRequest(
                 title="malformed", description=str(exc)
             ) from exc
-        if not CHANGE_ID.fullmatch(change.change_id):
+        if not CHANGE_ID_PATTERN.fullmatch(change.change_id):
             raise falcon.HTTPBadRequest(
                 title="malformed",
                 description="change_id: expected 1 to 64 letters, digits, . _ -",
@@ -187,12 +187,12 @@
         """List the last ``limit`` revisions, the latest first."""
         self.administration.author(req, team)
         limit = req.get_param_as_int(
-            "limit", default=USUAL_HISTORY, min_value=1, max_value=LONGEST_HISTORY
+            "limit", default=DEFAULT_HISTORY, min_value=1, max_value=MAX_HISTORY
         )
         found = self.administration.changes.history(team, limit)
         if isinstance(found, result.Err):
             raise falcon.HTTPServiceUnavailable(
-                title="store_unavailable", retry_after=COME_BACK
+                title="store_unavailable", retry_after=RETRY_AFTER_S
             )
         views = [view(subtree, "table") for subtree in found.ok_value]
         resp.text = codec.to_json({"team": team, "revisions": views})
@@ -242,7 +242,7 @@
     resp.status = status
     resp.text = codec.to_json(refused)
     if status == falcon.HTTP_SERVICE_UNAVAILABLE:
-        resp.set_header("Retry-After", f"{COME_BACK:g}")
+        resp.set_header("Retry-After", f"{RETRY_AFTER_S:g}")
 
 
 def refusal(error: errors.ChangeError) -> tuple[str, Refused]:
--- a/src/mangosail/front/status.py
+++ b/src/mangosail/front/status.py
@@ -11,7 +11,7 @@
 from mangosail.membership import peers as membership
 
 #: Seconds that a peer's description may take.
-DESCRIBE_TIMEOUT = 1.0
+DESCRIBE_TIMEOUT_S = 1.0
 
 
 class StatusResource:
@@ -22,7 +22,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Return the status."""
-        self.front.identify(req)
+        self.front.authenticate(req)
         resp.text = codec.to_json(self.front.describe())
 
 
@@ -37,7 +37,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Return the status of all instances, or of those of a data centre."""
-        self.front.identify(req)
+        self.front.authenticate(req)
         wanted = req.get_param("data_centre")
         asked = [
             gevent.spawn(self._describe, peer)
@@ -52,7 +52,7 @@
 
     def _describe(self, peer: membership.Peer) -> dict[str, t.Any]:
         request = messages.DescribeRequest(self.front.peers.own_name)
-        answer = peer.channel.call(methods.DESCRIBE, request, DESCRIBE_TIMEOUT)
+        answer = peer.channel.call(methods.DESCRIBE, request, DESCRIBE_TIMEOUT_S)
         if isinstance(answer, result.Ok):
             return codec.from_json(answer.ok_value.text, dict)
         self.front.counters.count("front.describe_failed")
--- a/src/mangosail/front/stopping.py
+++ b/src/mangosail/front/stopping.py
@@ -12,11 +12,11 @@
 
 #: Seconds that new callers are still served while the balancer finds out that
 #: this instance is not ready: three of its checks.
-NOTICE_TERM = 1.5
+NOT_READY_PERIOD_S = 1.5
 #: Seconds between looks at what is in flight.
-LOOK_INTERVAL = 0.02
+POLL_INTERVAL_S = 0.02
 #: Looks in a row without anything in flight after which nothing is on its way.
-QUIET_LOOKS = 5
+IDLE_POLLS = 5
 
 
 class Drain:
@@ -36,7 +36,7 @@
         hand_over: cabc.Callable[[float], object],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        term: float,
+        timeout: float,
     ) -> None:
         self.front = front
         self.httpd = httpd
@@ -44,20 +44,20 @@
         self.hand_over = hand_over
         self.clock = clock
         self.counters = counters
-        self.term = term
-        self.begun = False
+        self.timeout = timeout
+        self.started = False
 
     def run(self) -> None:
         """Drain and stop the server; later calls do nothing."""
-        if self.begun:
+        if self.started:
             return
-        self.begun = True
-        deadline = self.clock.monotonic() + self.term
+        self.started = True
+        deadline = self.clock.monotonic() + self.timeout
         log.info("draining")
         self.counters.count("front.drain.begun")
         self.front.draining = True
         self.httpd.application.closing = True
-        self.clock.sleep(min(NOTICE_TERM, self.term))
+        self.clock.sleep(min(NOT_READY_PERIOD_S, self.timeout))
         self.front.watches.drain()
         self.httpd.close()
         self._wait(deadline)
@@ -69,10 +69,10 @@
     def _wait(self, deadline: float) -> None:
         """Wait until nothing is in flight, or until the deadline."""
         quiet = 0
-        while quiet < QUIET_LOOKS:
+        while quiet < IDLE_POLLS:
             if self.clock.monotonic() >= deadline:
                 self.counters.count("front.drain.cut_off")
                 log.warning("drain deadline passed with requests in flight")
                 return
             quiet = 0 if self.httpd.busy() else quiet + 1
-            self.clock.sleep(LOOK_INTERVAL)
+            self.clock.sleep(POLL_INTERVAL_S)
--- a/src/mangosail/front/streams.py
+++ b/src/mangosail/front/streams.py
@@ -20,18 +20,18 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds without an event after which the stream is taken up elsewhere.
-SILENCE = 5.0
+EVENT_TIMEOUT_S = 5.0
 #: Seconds between attempts to take a stream up.
-RESUME_INTERVAL = 0.25
+RESUME_INTERVAL_S = 0.25
 #: Seconds without an open stream after which a watch ends: the caller's next
 #: connection may reach an instance that has a worker to read from.
-NO_WORKER_TERM = 5.0
+NO_WORKER_TIMEOUT_S = 5.0
 #: Workers on which an opening is tried, however long the first ones took.
-LEAST_TRIED = 2
+MIN_WORKERS_TRIED = 2
 #: Events read ahead for a slow caller.
 READ_AHEAD = 16
 #: Watches that one instance carries.
-MOST_WATCHES = 1024
+MAX_WATCHES = 1024
 #: What a watch takes of its worker.
 NEEDS = resources.Resources(connections=1)
 
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        owned: workers.Workers,
-        awaited: cabc.Callable[[], bool],
+        owned_workers: workers.Workers,
+        worker_expected: cabc.Callable[[], bool],
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
-        self.owned = owned
+        self.owned_workers = owned_workers
         #: Tells whether this instance may come to own a worker within seconds.
-        self.awaited = awaited
+        self.worker_expected = worker_expected
         self.clock = clock
         self.counters = counters
         self.open: set[Watch] = set()
@@ -70,15 +70,17 @@
         """Return why no watch can be opened now, or an empty string."""
         if self.draining:
             return "draining"
-        if len(self.open) >= MOST_WATCHES:
+        if len(self.open) >= MAX_WATCHES:
             return "too_many_watches"
-        if self.owned.fitting(NEEDS, durable=False):
+        if self.owned_workers.fitting(NEEDS, durable=False):
             return ""
         # An instance is ready as soon as a peer answers quotes in its place, up to 3 s
         # before it owns a worker, and longer before it has read what runs there. A
         # watch that came in between was refused although nothing was wrong; opened, it
-        # waits for the worker, at most `NO_WORKER_TERM`.
-        starting = self.awaited() and not any(owned.ready for owned in self.owned)
+        # waits for the worker, at most `NO_WORKER_TIMEOUT_S`.
+        starting = self.worker_expected() and not any(
+            owned.ready for owned in self.owned_workers
+        )
         return "" if starting else "no_capacity"
 
 
@@ -97,16 +99,16 @@
         self.task_id = task_id
         self.subject = subject
         #: Sequence number of the last event that was handed to the caller.
-        self.told = after
+        self.last_delivered = after
         #: Sequence number of the last event that was read.
-        self.last = after
+        self.last_read = after
         self.deadline = deadline
         self.lines: gevent.queue.Queue[dict[str, t.Any] | End] = gevent.queue.Queue(
             READ_AHEAD
         )
-        self.ending = ""
+        self.end_reason = ""
         #: Monotonic time at which the watch ends if no worker opens the stream.
-        self.open_deadline = watches.clock.monotonic() + NO_WORKER_TERM
+        self.open_deadline = watches.clock.monotonic() + NO_WORKER_TIMEOUT_S
         #: Workers tried since the last event.
         self.tried: set[str] = set()
 
@@ -124,54 +126,56 @@
 
     def end(self, reason: str) -> None:
         """End the watch after the line that is being written."""
-        self.ending = reason
+        self.end_reason = reason
         if self.lines.empty():
             self.lines.put_nowait(End(reason))
 
     def _lines(self) -> cabc.Iterator[bytes]:
-        while not self.ending:
+        while not self.end_reason:
             left = self.deadline - self.watches.clock.monotonic()
             if left <= 0:
-                self.ending = "deadline"
+                self.end_reason = "deadline"
                 break
             try:
-                line = self.lines.get(timeout=min(SILENCE, left))
+                line = self.lines.get(timeout=min(EVENT_TIMEOUT_S, left))
             except gevent.queue.Empty:
                 yield b"\n"
                 continue
             if isinstance(line, End):
                 if not line.reason:
                     return
-                self.ending = line.reason
+                self.end_reason = line.reason
                 break
-            yield encoded(line)
-            self.told = line["sequence"]
-        self.watches.counters.count(f"front.watch.ended.{self.ending}")
-        yield encoded({"resume_after": self.told, "reason": self.ending})
+            yield encode_line(line)
+            self.last_delivered = line["sequence"]
+        self.watches.counters.count(f"front.watch.ended.{self.end_reason}")
+        yield encode_line(
+            {"resume_after": self.last_delivered, "reason": self.end_reason}
+        )
 
     def _read(self) -> None:
         """Read from one worker after the other until the stream ends."""
         clock = self.watches.clock
         previous: workers.OwnedWorker | None = None
         while True:
-            owned = self._choose(previous)
-            if clock.monotonic() >= self.open_deadline and not self._untried(owned):
+            owned = self._choose_worker(previous)
+            if clock.monotonic() >= self.open_deadline and not self._may_try(owned):
                 break
             if owned is None:
-                clock.sleep(RESUME_INTERVAL)
+                clock.sleep(RESUME_INTERVAL_S)
                 continue
             previous = owned
             self.tried.add(owned.name)
-            before = self.last
-            if self._follow(owned):
+            before = self.last_read
+            if self._read_from(owned):
                 self.lines.put(End(""))
                 return
             self.watches.counters.count("front.watch.resumed")
-            if self.last == before:
-                clock.sleep(RESUME_INTERVAL)
+            if self.last_read == before:
+                clock.sleep(RESUME_INTERVAL_S)
         self.lines.put(End("no_worker"))
 
-    def _untried(self, owned: workers.OwnedWorker | None) -> bool:
+    def _may_try(self, owned: workers.OwnedWorker | None) -> bool:
         """Tell whether a worker gets a try although the time for openings is over.
 
         One worker that answers nothing takes all of it: a new watch was told that there
@@ -179,47 +183,51 @@
         """
         if owned is None or owned.name in self.tried:
             return False
-        return len(self.tried) < LEAST_TRIED
+        return len(self.tried) < MIN_WORKERS_TRIED
 
-    def _choose(
+    def _choose_worker(
         self, previous: workers.OwnedWorker | None
     ) -> workers.OwnedWorker | None:
         """Return a worker with a connection to spare, another one if possible."""
-        fitting = self.watches.owned.fitting(NEEDS, durable=False)
+        fitting = self.watches.owned_workers.fitting(NEEDS, durable=False)
         others = [owned for owned in fitting if owned is not previous]
         if not others:
             return fitting[0] if fitting else None
         return max(others, key=lambda owned: owned.ledger.free().connections)
 
-    def _follow(self, owned: workers.OwnedWorker) -> bool:
+    def _read_from(self, owned: workers.OwnedWorker) -> bool:
         """Read from `owned`, and tell whether the stream came to its own end."""
         if not owned.ledger.reserve(self.task_id, NEEDS, durable=False):
             return False
         try:
-            for event in owned.target.watch(self.subject, self.last, SILENCE):
+            for event in owned.target.watch(
+                self.subject, self.last_read, EVENT_TIMEOUT_S
+            ):
                 if isinstance(event, result.Err):
                     reason = type(event.err_value).__name__.lower()
                     self.watches.counters.count(f"front.watch.broken.{reason}")
                     return False
-                self._take(event.ok_value)
+                self._accept_event(event.ok_value)
             return True
         finally:
             owned.ledger.release(self.task_id)
 
-    def _take(self, event: dict[str, t.Any]) -> None:
+    def _accept_event(self, event: dict[str, t.Any]) -> None:
         """Pass an event on unless it was passed on before."""
-        self.open_deadline = self.watches.clock.monotonic() + NO_WORKER_TERM + SILENCE
+        self.open_deadline = (
+            self.watches.clock.monotonic() + NO_WORKER_TIMEOUT_S + EVENT_TIMEOUT_S
+        )
         self.tried.clear()
         if not event:
             return
         sequence = event.get("sequence")
-        if not isinstance(sequence, int) or sequence <= self.last:
+        if not isinstance(sequence, int) or sequence <= self.last_read:
             self.watches.counters.count("front.watch.repeated")
             return
-        self.last = sequence
+        self.last_read = sequence
         self.lines.put(event)
 
 
-def encoded(line: dict[str, t.Any]) -> bytes:
+def encode_line(line: dict[str, t.Any]) -> bytes:
     """Return a line as it is written."""
     return codec.to_json(line).encode() + b"\n"
--- a/src/mangosail/front/watches.py
+++ b/src/mangosail/front/watches.py
@@ -29,7 +29,7 @@
         refusal = self.watches.refusal()
         if refusal:
             self.front.counters.count(f"front.refused.{refusal}")
-            replies.refuse(resp, messages.Refusal(503, refusal, quotes.COME_BACK))
+            replies.refuse(resp, messages.Refusal(503, refusal, quotes.RETRY_AFTER_S))
             return
         task_id = f"{request.team}/{request.request_id}~watch-{id(resp):x}"
         watch = streams.Watch(self.watches, task_id, subject, after, request.deadline)
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -43,7 +43,7 @@
 log = logbook.Logger("instance")
 
 #: Seconds between readings of the table and of the platform's list.
-REFRESH_INTERVAL = 1.0
+REFRESH_INTERVAL_S = 1.0
 
 
 class Instance:
@@ -53,27 +53,27 @@
     """
 
     def __init__(self, settings: process.ProcessSettings) -> None:
-        self.process = settings
+        self.process_settings = settings
         self.clock = clocks.SystemClock()
         self.counters = make_counters(settings)
         self.keys = make_keys(settings, self.counters)
-        self._reach_platform()
-        self._know_peers()
-        self._own_workers()
-        self._run_jobs()
-        self._open_front()
+        self._create_platform_clients()
+        self._create_peers()
+        self._create_ownership()
+        self._create_jobs()
+        self._create_front()
 
-    def _reach_platform(self) -> None:
+    def _create_platform_clients(self) -> None:
         """Make what is read from and written to the platform."""
         caller = platform_caller.Caller(
-            self.process.platform_address,
-            headers={"X-Instance": self.process.instance},
+            self.process_settings.platform_address,
+            headers={"X-Instance": self.process_settings.instance},
         )
         self.table = platform_http.HttpTable(caller)
         self.objects = platform_http.HttpObjects(caller)
         self.listed = listed.Listed(platform_http.HttpInventory(caller))
-        self.grouped = batching.GroupCommit(
-            self.table, self.counters, self.process.commit_window
+        self.group_commit = batching.GroupCommit(
+            self.table, self.counters, self.process_settings.commit_window
         )
         self.settings = state.Settings(
             self.table, self.clock, self.counters, self._seed()
@@ -84,64 +84,66 @@
 
     def _seed(self) -> int:
         """Return the seed that was set, or one drawn for each who asks."""
-        return self.process.seed or random.getrandbits(32)
+        return self.process_settings.seed or random.getrandbits(32)
 
-    def _may_own(self) -> bool:
+    def _may_own_workers(self) -> bool:
         """Tell whether this instance may come to own a worker within seconds.
 
         Without the table it can take none: a caller's watch waited 5 s for nothing.
         """
-        listed = self.listed.live(self.process.data_centre)
-        return bool(listed) and self.lease.may_take()
+        listed = self.listed.live(self.process_settings.data_centre)
+        return bool(listed) and self.lease.may_claim()
 
-    def _know_peers(self) -> None:
+    def _create_peers(self) -> None:
         """Make what is asked of peers and told to them."""
         self.peers = membership.Peers(
-            self.process.instance,
-            self.process.data_centre,
+            self.process_settings.instance,
+            self.process_settings.data_centre,
             self.heartbeat_message,
             self.clock,
             self.counters,
             self.keys,
         )
         self.spread = spread.Spread(
-            self.settings, self.peers, self.process.data_centre, self.counters
+            self.settings, self.peers, self.process_settings.data_centre, self.counters
         )
 
-    def _own_workers(self) -> None:
+    def _create_ownership(self) -> None:
         """Make what takes workers into ownership and starts work there."""
-        row = session.first_row(
-            self.process.instance, self.process.data_centre, self.process.peer_address
+        row = session.new_session_row(
+            self.process_settings.instance,
+            self.process_settings.data_centre,
+            self.process_settings.peer_address,
         )
         self.lease = session.Session(self.table, self.clock, row)
         self.workers = workers.Workers()
         self.placer = placer.Placer(
             self.workers,
-            self.process.chooser,
-            self.process.seed,
+            self.process_settings.chooser,
+            self.process_settings.seed,
             self.clock,
             self.counters,
             quotas=self.settings.declared_quota,
             capacities=self.listed.capacities,
         )
         self.runner = runner.Runner(
-            claims.Claims(self.grouped),
+            claims.Claims(self.group_commit),
             self.workers,
             self.placer,
             self.lease,
             self.clock,
             self.counters,
             forwarder=forwarding.Forwarding(
-                self.peers, self.process.data_centre, self.clock, self.counters
+                self.peers, self.process_settings.data_centre, self.clock, self.counters
             ),
             store=self.objects,
             is_worker_gone=self.listed.gone,
         )
-        self.following = monitoring.Following(
+        self.worker_monitors = monitoring.WorkerMonitors(
             self.workers,
             (self.placer, self.runner),
             invariants.Invariants(
-                self.counters, self.process.abort_on_broken_invariant
+                self.counters, self.process_settings.abort_on_broken_invariant
             ),
             self.clock,
             self.counters,
@@ -149,15 +151,15 @@
         self.owners = owners.Owners(
             self.table,
             self.lease,
-            session_observer.Sightings(self.clock, self.lease.term),
+            session_observer.SessionObserver(self.clock, self.lease.lease_duration),
             self.workers,
-            connector.HttpBench(self.lease.valid, self.clock, self.counters),
-            (self.following,),
+            connector.HttpConnector(self.lease.valid, self.clock, self.counters),
+            (self.worker_monitors,),
             self.clock,
             self.counters,
         )
 
-    def _run_jobs(self) -> None:
+    def _create_jobs(self) -> None:
         """Make what sees to batch jobs, on own workers and at peers."""
         self.room = room.Room(
             self.workers, self.placer, self.runner, self.clock, self.counters
@@ -179,13 +181,13 @@
         self.takeover = job_takeover.Takeover(
             self.table,
             self.jobs,
-            self.owners.seen,
+            self.owners.sessions,
             self.lease,
             self.clock,
             self.counters,
         )
 
-    def _open_front(self) -> None:
+    def _create_front(self) -> None:
         """Make what serves callers, operators and peers."""
         seen = tails.Tails()
         self.control = loop.ControlLoop(
@@ -204,9 +206,9 @@
             ),
             runner=self.runner,
             jobs=self.jobs,
-            owned=self.workers,
+            owned_workers=self.workers,
             watches=streams.Watches(
-                self.workers, self._may_own, self.clock, self.counters
+                self.workers, self._may_own_workers, self.clock, self.counters
             ),
             clock=self.clock,
             counters=self.counters,
@@ -215,7 +217,7 @@
                 runner=self.runner,
                 settings=self.settings,
                 lease=self.lease,
-                owned=self.workers,
+                owned_workers=self.workers,
                 peers=self.peers,
                 clock=self.clock,
                 counters=self.counters,
@@ -224,7 +226,10 @@
             capacities=self.listed.capacities,
         )
         self.administration = administration.Administration(
-            self.front, self.changes, self.spread, self.process.admin_token_sha256
+            self.front,
+            self.changes,
+            self.spread,
+            self.process_settings.admin_token_sha256,
         )
         self.upkeep = upkeep.Upkeep(
             self.listed, self.owners, self.workers, self.peers, self.front
@@ -234,14 +239,21 @@
         """Serve until the process is stopped."""
         # Dropped, the server would be collected and would stop listening.
         peer_server = rpc.serve(
-            self._served(), self.process.peer_address, self.keys, self.peers.by_name
+            self._rpc_handlers(),
+            self.process_settings.peer_address,
+            self.keys,
+            self.peers.by_name,
         )
         self._start_tasks()
-        gate = server.Gate(app.create(self.front, self.administration), self.counters)
+        gate = server.RequestLimiter(
+            app.create(self.front, self.administration), self.counters
+        )
         tls = self.keys.context if self.keys is not None else None
-        httpd = server.create(gate, self.process.http_address, self.counters, tls)
+        httpd = server.create(
+            gate, self.process_settings.http_address, self.counters, tls
+        )
         gevent.signal_handler(signal.SIGTERM, self._drain(httpd, peer_server).run)
-        log.info("serving", address=self.process.http_address)
+        log.info("serving", address=self.process_settings.http_address)
         httpd.serve_forever()
         peer_server.stop(grace=0)
 
@@ -250,44 +262,44 @@
     ) -> peer_messages.Heartbeat:
         """Return our state as peers are told it."""
         return peer_messages.Heartbeat(
-            self.process.instance,
+            self.process_settings.instance,
             self.lease.row.incarnation,
-            self.process.data_centre,
+            self.process_settings.data_centre,
             self.workers.free(),
             settings_sequence=self.settings.sequence,
             settings_age=self.settings.age(),
-            peer_address=self.process.peer_address,
+            peer_address=self.process_settings.peer_address,
             asks_for_peers=asks_for_peers,
             draining=self.front.draining,
         )
 
-    def _served(self) -> tuple[rpc.Served, ...]:
+    def _rpc_handlers(self) -> tuple[rpc.MethodHandler, ...]:
         """Return what each of the peers' methods is answered by."""
-        front = peering.Peering(self.front)
+        front = peering.PeerHandlers(self.front)
         return (
-            methods.HEARTBEAT.served_by(self.peers.heartbeat),
-            front_methods.FORWARD.served_by(front.forward),
-            front_methods.DESCRIBE.served_by(front.describe),
-            work_methods.SUBMIT.served_by(self.runner.submit_for_peer),
-            work_methods.CANCEL.served_by(self.runner.cancel_for_peer),
-            settings_methods.SINCE.served_by(self.spread.tell),
-            job_methods.OFFER.served_by(self.offers.accept),
-            job_methods.TASK_ENDED.served_by(self.jobs.task_ended),
+            methods.HEARTBEAT.with_handler(self.peers.handle_heartbeat),
+            front_methods.FORWARD.with_handler(front.forward),
+            front_methods.DESCRIBE.with_handler(front.describe),
+            work_methods.SUBMIT.with_handler(self.runner.submit_for_peer),
+            work_methods.CANCEL.with_handler(self.runner.cancel_for_peer),
+            settings_methods.SINCE.with_handler(self.spread.tell),
+            job_methods.OFFER.with_handler(self.offers.accept),
+            job_methods.TASK_ENDED.with_handler(self.jobs.task_ended),
         )
 
     def _start_tasks(self) -> None:
-        loops = upkeep.Loops(self.clock, self.counters)
-        loops.start(self.upkeep.renew, session.RENEWAL_INTERVAL)
-        loops.start(self.upkeep.refresh, REFRESH_INTERVAL)
-        gevent.spawn(self.grouped.run)
-        loops.start(self.runner.sweep, REFRESH_INTERVAL)
-        loops.start(self.settings.refresh, REFRESH_INTERVAL)
+        loops = upkeep.PeriodicTasks(self.clock, self.counters)
+        loops.start(self.upkeep.renew, session.RENEWAL_INTERVAL_S)
+        loops.start(self.upkeep.refresh, REFRESH_INTERVAL_S)
+        gevent.spawn(self.group_commit.run)
+        loops.start(self.runner.sweep, REFRESH_INTERVAL_S)
+        loops.start(self.settings.refresh, REFRESH_INTERVAL_S)
         loops.start(self.spread.learn, spread.LEARN_INTERVAL)
         gevent.spawn(self.jobs.place_forever)
-        if self.process.control is process.Control.ON:
+        if self.process_settings.control is process.Control.ON:
             loops.start(self.control.step, loop.INTERVAL_S)
         loops.start(self.jobs.recorder.record, recording.RECORD_INTERVAL_S)
-        loops.start(self.takeover.refresh, REFRESH_INTERVAL)
+        loops.start(self.takeover.refresh, REFRESH_INTERVAL_S)
         gevent.spawn(self.counters.flush_forever)
         if self.keys is not None:
             gevent.spawn(self.keys.watch_forever)
@@ -305,7 +317,7 @@
             self.owners.release_all,
             self.clock,
             self.counters,
-            self.process.drain_seconds,
+            self.process_settings.drain_seconds,
         )
 
 
--- a/src/mangosail/invariants.py
+++ b/src/mangosail/invariants.py
@@ -13,7 +13,7 @@
 log = logbook.Logger("invariants")
 
 #: Exit status of a process that aborted on a broken invariant.
-EXIT_BROKEN = 70
+EXIT_INVARIANT_BROKEN = 70
 
 
 class Invariants:
@@ -30,4 +30,4 @@
         self.counters.count(f"invariants.broken.{name}")
         log.critical("broken", name=name, **facts)
         if self.abort:
-            os._exit(EXIT_BROKEN)
+            os._exit(EXIT_INVARIANT_BROKEN)
--- a/src/mangosail/jobs/offers.py
+++ b/src/mangosail/jobs/offers.py
@@ -63,7 +63,7 @@
         """Offer a task to peers with room; True if one may have taken it."""
         own = self.lease.row
         message = messages.Offer(own.instance, request, urgent)
-        peers = self.peers.with_room(request.needs, own.data_centre)
+        peers = self.peers.with_capacity(request.needs, own.data_centre)
         return self._offer_to(peers, message, self.refused_until)
 
     def request_room(self, request: work_messages.Request) -> bool:
@@ -75,8 +75,8 @@
         own = self.lease.row
         message = messages.Offer(own.instance, request, urgent=True, clear=True)
         peers = [
-            *self.peers.with_room(request.needs, own.data_centre),
-            *self.peers.without_room(request.needs, own.data_centre),
+            *self.peers.with_capacity(request.needs, own.data_centre),
+            *self.peers.without_capacity(request.needs, own.data_centre),
         ]
         near = [each for each in peers if each.listed.data_centre == own.data_centre]
         near.sort(key=lambda each: each.listed.name != self.clearing_peer)
--- a/src/mangosail/jobs/takeover.py
+++ b/src/mangosail/jobs/takeover.py
@@ -30,7 +30,7 @@
         self,
         rows: table.Table,
         jobs: queue.JobQueue,
-        sessions: session_observer.Sightings,
+        sessions: session_observer.SessionObserver,
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -48,7 +48,7 @@
         """Scan the running jobs if a session came or went, or it is time."""
         # Not the live ones: a session lapses a little before it is ended, and
         # only then are its jobs free to be taken.
-        present = self.sessions.holding()
+        present = self.sessions.active_incarnations()
         now = self.clock.monotonic()
         if present == self.known_holders and now < self.next_scan_at:
             return
@@ -74,7 +74,7 @@
         if state.incarnation == own.incarnation:
             # Ours, by a write whose answer was lost.
             return True
-        if self.sessions.holds(state.holder, state.incarnation):
+        if self.sessions.may_hold_leases(state.holder, state.incarnation):
             return False
         live = [row.instance for row in self.sessions.live()]
         best = max(live, key=lambda name: shares.score(key, name), default="")
--- a/src/mangosail/membership/peers.py
+++ b/src/mangosail/membership/peers.py
@@ -23,15 +23,15 @@
 log = logbook.Logger("membership")
 
 #: Seconds between heartbeats to a peer.
-HEARTBEAT_INTERVAL = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 #: Seconds that a heartbeat may take.
-HEARTBEAT_TIMEOUT = 1.0
+HEARTBEAT_TIMEOUT_S = 1.0
 #: Heartbeat intervals after its last one for which a peer counts as reachable.
 REACHABLE_INTERVALS = 3
 #: Seconds between heartbeats to a peer in another data centre.
-FAR_INTERVAL = 4.0
+REMOTE_HEARTBEAT_INTERVAL_S = 4.0
 #: Peers in each other data centre that are sent heartbeats.
-FAR_PEERS = 2
+REMOTE_PEERS = 2
 
 
 class Peer:
@@ -46,9 +46,9 @@
         #: Monotonic time until which the peer counts as reachable.
         self.reachable_deadline = 0.0
         #: True if it left a request unanswered and was not heard of since.
-        self.silent = False
+        self.unresponsive = False
         #: True if it had no room for the last request that was passed on to it.
-        self.full = False
+        self.at_capacity = False
         #: True while the peer is sent heartbeats.
         self.beating = False
         self.dropped = False
@@ -61,14 +61,14 @@
         self,
         own_name: str,
         data_centre: str,
-        describe: cabc.Callable[[bool], messages.Heartbeat],
+        make_heartbeat: cabc.Callable[[bool], messages.Heartbeat],
         clock: clocks.Clock,
         counters: telemetry.Counters,
         store: keys.KeyStore | None = None,
     ) -> None:
         self.own_name = own_name
         self.data_centre = data_centre
-        self.describe = describe
+        self.make_heartbeat = make_heartbeat
         self.clock = clock
         self.counters = counters
         self.store = store
@@ -79,9 +79,9 @@
     def update(self, listed: cabc.Iterable[inventory.EntryInstance]) -> None:
         """Keep in step with the platform's list."""
         self.has_list = True
-        self._replace(listed)
+        self._update_peers(listed)
 
-    def _replace(self, listed: cabc.Iterable[inventory.EntryInstance]) -> None:
+    def _update_peers(self, listed: cabc.Iterable[inventory.EntryInstance]) -> None:
         """Take on each new peer and drop those that are gone."""
         present = {entry.name: entry for entry in listed if entry.name != self.own_name}
         for name, entry in present.items():
@@ -93,7 +93,7 @@
             self.by_name[name] = Peer(entry, self.store)
         for name in set(self.by_name) - set(present):
             self._drop(self.by_name.pop(name))
-        chosen = self._chosen()
+        chosen = self._heartbeat_recipients()
         for peer in self.by_name.values():
             if peer.listed.name not in chosen:
                 peer.beating = False
@@ -103,9 +103,9 @@
 
     def start(self, peer: Peer) -> None:
         """Start the task that sends `peer` heartbeats."""
-        gevent.spawn(self._beat, peer)
+        gevent.spawn(self._heartbeat_loop, peer)
 
-    def _chosen(self) -> set[str]:
+    def _heartbeat_recipients(self) -> set[str]:
         """Return the names of the peers that are sent heartbeats.
 
         Each instance ranks far peers in an order of its own, so that all of
@@ -116,7 +116,7 @@
             by_place.setdefault(peer.listed.data_centre, []).append(name)
         chosen = set(by_place.pop(self.data_centre, ()))
         for names in by_place.values():
-            chosen.update(sorted(names, key=self._rank)[:FAR_PEERS])
+            chosen.update(sorted(names, key=self._rank)[:REMOTE_PEERS])
         return chosen
 
     def _rank(self, name: str) -> bytes:
@@ -130,8 +130,8 @@
     def heard(self, message: messages.Heartbeat) -> None:
         """Take in a heartbeat that a peer sent us."""
         peer = self.by_name.get(message.instance)
-        if self._is_news(message, peer):
-            self._replace([*self.listed(), entry_of(message)])
+        if self._is_new_address(message, peer):
+            self._update_peers([*self.listed(), entry_of(message)])
             peer = self.by_name.get(message.instance)
         if peer is None:
             return
@@ -140,18 +140,20 @@
             # Nothing else tells of it: a data centre without workers reached two of
             # three peers elsewhere, and refused quotes that the third had room for.
             now = self.clock.monotonic()
-            peer.reachable_deadline = now + REACHABLE_INTERVALS * FAR_INTERVAL
-            peer.silent = peer.full = False
+            peer.reachable_deadline = (
+                now + REACHABLE_INTERVALS * REMOTE_HEARTBEAT_INTERVAL_S
+            )
+            peer.unresponsive = peer.at_capacity = False
 
-    def heartbeat(self, message: messages.Heartbeat) -> messages.Heartbeat:
+    def handle_heartbeat(self, message: messages.Heartbeat) -> messages.Heartbeat:
         """Take in a peer's state and return our own."""
         self.heard(message)
-        own = self.describe(not self.has_list)
+        own = self.make_heartbeat(not self.has_list)
         if not message.asks_for_peers:
             return own
         return dataclasses.replace(own, known=self.listed())
 
-    def _is_news(self, message: messages.Heartbeat, peer: Peer | None) -> bool:
+    def _is_new_address(self, message: messages.Heartbeat, peer: Peer | None) -> bool:
         """Tell whether `message` is from a peer, or an address, that we lack.
 
         The platform's list can't say where a replaced peer listens while we are
@@ -166,25 +168,27 @@
         now = self.clock.monotonic()
         return [p for p in self.by_name.values() if now < p.reachable_deadline]
 
-    def with_room(self, needs: resources.Resources, data_centre: str) -> list[Peer]:
+    def with_capacity(self, needs: resources.Resources, data_centre: str) -> list[Peer]:
         """Return reachable peers with room, those of `data_centre` first."""
-        peers = self._open_peers(data_centre)
-        return [peer for peer in peers if has_room(peer, needs)]
+        peers = self._available_peers(data_centre)
+        return [peer for peer in peers if has_capacity(peer, needs)]
 
-    def without_room(self, needs: resources.Resources, data_centre: str) -> list[Peer]:
+    def without_capacity(
+        self, needs: resources.Resources, data_centre: str
+    ) -> list[Peer]:
         """Return reachable peers that last told of less room, in the same order."""
-        peers = self._open_peers(data_centre)
-        return [peer for peer in peers if not has_room(peer, needs)]
+        peers = self._available_peers(data_centre)
+        return [peer for peer in peers if not has_capacity(peer, needs)]
 
-    def told_slots(self, most: int) -> dict[str, int]:
+    def reported_slots(self, limit: int) -> dict[str, int]:
         """Return the free slots that up to `most` reachable peers last told of."""
         return {
             peer.listed.name: free.slots
-            for peer in self.reachable()[:most]
-            if (free := free_of(peer)) is not None
+            for peer in self.reachable()[:limit]
+            if (free := free_capacity(peer)) is not None
         }
 
-    def _open_peers(self, data_centre: str) -> list[Peer]:
+    def _available_peers(self, data_centre: str) -> list[Peer]:
         """Return the peers that take new work, in the order to ask them.
 
         Silent ones come last: a frozen peer counts as reachable for up to 12 s, and
@@ -192,16 +196,21 @@
         no room for what was passed on to them last.
         """
         open_peers = [
-            (unlikely(peer), peer.listed.data_centre != data_centre, -free.slots, peer)
+            (
+                preference_key(peer),
+                peer.listed.data_centre != data_centre,
+                -free.slots,
+                peer,
+            )
             for peer in self.reachable()
-            if (free := free_of(peer)) is not None
+            if (free := free_capacity(peer)) is not None
         ]
         return [peer for *_, peer in sorted(open_peers, key=lambda e: e[:3])]
 
-    def _learn(self, told: cabc.Iterable[inventory.EntryInstance]) -> None:
+    def _add_known(self, known: cabc.Iterable[inventory.EntryInstance]) -> None:
         """Add what peers say, while the platform's list was never seen."""
         if not self.has_list:
-            self._replace([*self.listed(), *told])
+            self._update_peers([*self.listed(), *known])
 
     def _drop(self, peer: Peer) -> None:
         peer.dropped = True
@@ -209,48 +218,48 @@
             peer.channel.close()
         log.info("peer gone", peer=peer.listed.name)
 
-    def _beat(self, peer: Peer) -> None:
+    def _heartbeat_loop(self, peer: Peer) -> None:
         log.info("peer found", peer=peer.listed.name)
         near = peer.listed.data_centre == self.data_centre
-        interval = HEARTBEAT_INTERVAL if near else FAR_INTERVAL
+        interval = HEARTBEAT_INTERVAL_S if near else REMOTE_HEARTBEAT_INTERVAL_S
         while peer.beating and not peer.dropped:
-            self._exchange(peer, interval)
+            self._send_heartbeat(peer, interval)
             self.clock.sleep(interval)
         if peer.dropped:
             peer.channel.close()
 
-    def _exchange(self, peer: Peer, interval: float) -> None:
+    def _send_heartbeat(self, peer: Peer, interval: float) -> None:
         now = self.clock.monotonic()
         self.counters.count("membership.heartbeat_sent")
-        own = self.describe(not self.has_list)
-        answer = peer.channel.call(methods.HEARTBEAT, own, HEARTBEAT_TIMEOUT)
+        own = self.make_heartbeat(not self.has_list)
+        answer = peer.channel.call(methods.HEARTBEAT, own, HEARTBEAT_TIMEOUT_S)
         if isinstance(answer, result.Err):
             self.counters.count(f"membership.heartbeat_failed.{answer.err_value}")
             return
         if now >= peer.reachable_deadline:
             log.info("peer reached", peer=peer.listed.name)
         peer.state = dataclasses.replace(answer.ok_value, known=())
-        peer.silent = peer.full = False
+        peer.unresponsive = peer.at_capacity = False
         peer.reachable_deadline = now + REACHABLE_INTERVALS * interval
         if answer.ok_value.known:
-            self._learn(answer.ok_value.known)
+            self._add_known(answer.ok_value.known)
 
 
-def unlikely(peer: Peer) -> tuple[bool, bool]:
+def preference_key(peer: Peer) -> tuple[bool, bool]:
     """Return what orders peers by how likely they are to serve, the best first."""
-    return peer.silent, peer.full
+    return peer.unresponsive, peer.at_capacity
 
 
-def free_of(peer: Peer) -> resources.Resources | None:
+def free_capacity(peer: Peer) -> resources.Resources | None:
     """Return the room that a peer last told of; None if it takes no new work."""
     if peer.state is None or peer.state.draining:
         return None
     return peer.state.free
 
 
-def has_room(peer: Peer, needs: resources.Resources) -> bool:
+def has_capacity(peer: Peer, needs: resources.Resources) -> bool:
     """Tell whether `needs` fit into what a peer last told of."""
-    free = free_of(peer)
+    free = free_capacity(peer)
     return free is not None and needs.fits_in(free)
 
 
--- a/src/mangosail/membership/rpc.py
+++ b/src/mangosail/membership/rpc.py
@@ -15,16 +15,16 @@
 
 SERVICE = "mangosail.Peer"
 #: Requests from peers that are served at a time.
-SERVER_TASKS = 64
+SERVER_THREADS = 64
 #: Milliseconds until a peer that was lost is tried again: at first, and at most.
-RECONNECT_FIRST_MS = 100
+RECONNECT_INITIAL_MS = 100
 RECONNECT_MAX_MS = 1000
 #: Seconds for which a channel with old keys is kept for the calls under way.
-OLD_CHANNEL_TERM = 30.0
+OLD_CHANNEL_GRACE_S = 30.0
 
 CHANNEL_OPTIONS = (
     ("grpc.max_reconnect_backoff_ms", RECONNECT_MAX_MS),
-    ("grpc.initial_reconnect_backoff_ms", RECONNECT_FIRST_MS),
+    ("grpc.initial_reconnect_backoff_ms", RECONNECT_INITIAL_MS),
     ("grpc.enable_http_proxy", 0),
 )
 
@@ -42,25 +42,27 @@
     """
 
     name: str
-    asked: type[Asked]
-    answered: type[Answered]
+    request_type: type[Asked]
+    response_type: type[Answered]
 
-    def served_by(self, handler: cabc.Callable[[Asked], Answered]) -> "Served":
+    def with_handler(
+        self, handler: cabc.Callable[[Asked], Answered]
+    ) -> "MethodHandler":
         """Return the method with what answers it here."""
-        return Served(self.name, self.asked, handler)
+        return MethodHandler(self.name, self.request_type, handler)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Served:
+class MethodHandler:
     """A method's handler, whose types `Method.served_by` has held against it."""
 
     name: str
-    asked: type
+    request_type: type
     handler: cabc.Callable[[t.Any], t.Any]
 
 
 def serve(
-    served: cabc.Iterable[Served],
+    handlers: cabc.Iterable[MethodHandler],
     address: str,
     store: keys.KeyStore | None = None,
     known: cabc.Container[str] = (),
@@ -69,15 +71,15 @@
 
     With keys in `store`, callers must prove to be one of the `known` instances.
     """
-    pool = concurrent.futures.ThreadPoolExecutor(max_workers=SERVER_TASKS)
+    pool = concurrent.futures.ThreadPoolExecutor(max_workers=SERVER_THREADS)
     server = grpc.server(pool, options=(("grpc.so_reuseport", 0),))
     methods = {
         method.name: grpc.unary_unary_rpc_method_handler(
-            _unary(method.handler, None if store is None else known),
-            request_deserializer=_decoder(method.asked),
+            _unary_handler(method.handler, None if store is None else known),
+            request_deserializer=_decoder(method.request_type),
             response_serializer=codec.to_msgpack,
         )
-        for method in served
+        for method in handlers
     }
     generic = grpc.method_handlers_generic_handler(SERVICE, methods)
     server.add_generic_rpc_handlers((generic,))
@@ -89,7 +91,7 @@
     return server
 
 
-def _unary(
+def _unary_handler(
     method: cabc.Callable[[t.Any], t.Any], known: cabc.Container[str] | None
 ) -> cabc.Callable[..., t.Any]:
     def serve_call(message: t.Any, context: grpc.ServicerContext) -> t.Any:
@@ -123,31 +125,31 @@
             self.address, self.name, self.store, CHANNEL_OPTIONS
         )
         #: The call of each method that was used, by its name.
-        self.calls: dict[str, cabc.Callable[..., t.Any]] = {}
+        self.stubs: dict[str, cabc.Callable[..., t.Any]] = {}
 
     def call(
         self, method: Method[Asked, Answered], message: Asked, timeout: float
     ) -> result.Result[Answered, str]:
         """Return the peer's answer within `timeout` seconds; an Err names the status.
 
-        ``channel.call(methods.HEARTBEAT, own, HEARTBEAT_TIMEOUT)``
+        ``channel.call(methods.HEARTBEAT, own, HEARTBEAT_TIMEOUT_S)``
         """
         if self.store is not None and self.store.version != self.version:
             # Calls under way end on the old channel, which is closed after them.
-            gevent.spawn_later(OLD_CHANNEL_TERM, self.channel.close)
+            gevent.spawn_later(OLD_CHANNEL_GRACE_S, self.channel.close)
             self._open()
         try:
-            return result.Ok(self._call_of(method)(message, timeout=timeout))
+            return result.Ok(self._stub(method)(message, timeout=timeout))
         except grpc.RpcError as exc:
             return result.Err(exc.code().name.lower())
 
-    def _call_of(self, method: Method[t.Any, t.Any]) -> cabc.Callable[..., t.Any]:
-        call = self.calls.get(method.name)
+    def _stub(self, method: Method[t.Any, t.Any]) -> cabc.Callable[..., t.Any]:
+        call = self.stubs.get(method.name)
         if call is None:
-            call = self.calls[method.name] = self.channel.unary_unary(
+            call = self.stubs[method.name] = self.channel.unary_unary(
                 f"/{SERVICE}/{method.name}",
                 request_serializer=codec.to_msgpack,
-                response_deserializer=_decoder(method.answered),
+                response_deserializer=_decoder(method.response_type),
             )
         return call
 
--- a/src/mangosail/ownership/connector.py
+++ b/src/mangosail/ownership/connector.py
@@ -11,7 +11,7 @@
 from mangosail.telemetry import counters as telemetry
 
 
-class HttpBench:
+class HttpConnector:
     """Makes handles that may be used while `lease_holds`."""
 
     def __init__(
@@ -24,7 +24,7 @@
         self.clock = clock
         self.counters = counters
 
-    def adopt(self, worker: inventory.Worker, generation: int) -> workers.OwnedWorker:
+    def connect(self, worker: inventory.Worker, generation: int) -> workers.OwnedWorker:
         """Return the handle of a worker that was taken."""
         target = self._target(worker)
         owned = workers.OwnedWorker(worker, generation, target, self.lease_holds)
@@ -34,7 +34,9 @@
         )
         return owned
 
-    def look_at(self, worker: inventory.Worker) -> dispatch_messages.Snapshot | None:
+    def fetch_snapshot(
+        self, worker: inventory.Worker
+    ) -> dispatch_messages.Snapshot | None:
         """Return what a worker that is not owned says, or None if it is silent."""
         return self._target(worker).snapshot(-1, 0.0).ok()
 
--- a/src/mangosail/ownership/messages.py
+++ b/src/mangosail/ownership/messages.py
@@ -47,7 +47,7 @@
     #: Earlier owners that have not released the worker and may still live.
     retained: tuple[Retention, ...] = ()
 
-    def promised(self) -> dict[int, resources.Resources]:
+    def retained_budgets(self) -> dict[int, resources.Resources]:
         """Return the most that each earlier owner may still use, by generation."""
         return {held.generation: held.budget for held in self.retained}
 
--- a/src/mangosail/ownership/monitoring.py
+++ b/src/mangosail/ownership/monitoring.py
@@ -16,7 +16,7 @@
 log = logbook.Logger("ownership")
 
 
-class Following:
+class WorkerMonitors:
     """One monitor for each owned worker; keeps its ledger in step.
 
     What a worker says is taken in here first, then by the `listeners`.
@@ -24,13 +24,13 @@
 
     def __init__(
         self,
-        owned: workers.Workers,
+        owned_workers: workers.Workers,
         listeners: cabc.Sequence[monitor.Listener],
         checks: invariants.Invariants,
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
-        self.owned = owned
+        self.owned_workers = owned_workers
         self.listeners = listeners
         self.invariants = checks
         self.clock = clock
@@ -57,14 +57,14 @@
 
     def on_snapshot(self, worker: str, snapshot: dispatch_messages.Snapshot) -> None:
         """Keep a worker's ledger and standing in step with what it says."""
-        owned = self.owned.get(worker)
+        owned = self.owned_workers.get(worker)
         if owned is None:
             return
         owned.reachable = True
         owned.usage = snapshot.usage
         owned.boot = snapshot.boot
         owned.leaving = owned.leaving or snapshot.leaving
-        reports = takeover.running(snapshot)
+        reports = takeover.running_reports(snapshot)
         if not owned.ready:
             owned.ledger.rebuild(reports, owned.generation)
             owned.ready = True
@@ -75,7 +75,7 @@
 
     def on_unreachable(self, worker: str) -> None:
         """Send no new work to a worker that is out of reach."""
-        owned = self.owned.get(worker)
+        owned = self.owned_workers.get(worker)
         if owned is not None and owned.reachable:
             owned.reachable = False
             self.counters.count("dispatch.worker_unreachable")
--- a/src/mangosail/ownership/owners.py
+++ b/src/mangosail/ownership/owners.py
@@ -19,12 +19,12 @@
 log = logbook.Logger("ownership")
 
 #: Seconds that work in flight may take before a worker is handed over anyway.
-HANDOVER_WAIT = 5.0
+HANDOVER_TIMEOUT_S = 5.0
 #: Seconds for which an instance that the platform never listed must be absent
 #: from its list until it counts as gone; the list lags.
-ABSENCE_TERM = 30.0
+ABSENCE_TIMEOUT_S = 30.0
 #: Seconds between looks at whether the quotes in flight have ended.
-POLL_INTERVAL = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Listener(t.Protocol):
@@ -37,18 +37,20 @@
         """Stop following a worker that was lost, or given up."""
 
 
-class Workbench(t.Protocol):
+class WorkerConnector(t.Protocol):
     """Makes what is needed to speak to a worker."""
 
-    def adopt(self, worker: inventory.Worker, generation: int) -> placed.OwnedWorker:
+    def connect(self, worker: inventory.Worker, generation: int) -> placed.OwnedWorker:
         """Return the handle of a worker that was taken."""
 
-    def look_at(self, worker: inventory.Worker) -> dispatch_messages.Snapshot | None:
+    def fetch_snapshot(
+        self, worker: inventory.Worker
+    ) -> dispatch_messages.Snapshot | None:
         """Return what a worker that is not owned says, or None if it is silent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
+class VersionedOwnerRow:
     """An owner row as it was read."""
 
     row: messages.OwnerRow
@@ -65,21 +67,21 @@
         #: Monotonic time from which an absent instance counts as gone.
         self.gone_from: dict[str, float] = {}
 
-    def see(self, listed: cabc.Iterable[str]) -> None:
+    def update(self, listed: cabc.Iterable[str]) -> None:
         """Take in the names of a list that was just fetched."""
         self.present = set(listed)
         self.ever_listed |= self.present
         for name in self.present:
             self.gone_from.pop(name, None)
 
-    def gone(self, name: str) -> bool:
+    def is_gone(self, name: str) -> bool:
         """Tell whether the platform no longer lists the instance `name`."""
         if not self.present or name in self.present:
             return False
         if name in self.ever_listed:
             return True
         now = self.clock.monotonic()
-        return now >= self.gone_from.setdefault(name, now + ABSENCE_TERM)
+        return now >= self.gone_from.setdefault(name, now + ABSENCE_TIMEOUT_S)
 
 
 class Owners:
@@ -89,23 +91,23 @@
         self,
         rows: table.Table,
         lease: session.Session,
-        seen: session_observer.Sightings,
-        owned: placed.Workers,
-        bench: Workbench,
+        sessions: session_observer.SessionObserver,
+        owned_workers: placed.Workers,
+        connector: WorkerConnector,
         listeners: cabc.Sequence[Listener],
         clock: clocks.Clock,
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
         self.lease = lease
-        self.seen = seen
-        self.owned = owned
-        self.bench = bench
+        self.sessions = sessions
+        self.owned_workers = owned_workers
+        self.connector = connector
         self.listeners = listeners
         self.clock = clock
         self.counters = counters
         self.absences = Absences(clock)
-        self.by_worker: dict[str, Known] = {}
+        self.by_worker: dict[str, VersionedOwnerRow] = {}
         #: Version of the epoch row at which `by_worker` was read.
         self.epoch: int | None = None
         #: True once a planned stop began: nothing is taken any more.
@@ -126,20 +128,20 @@
         """
         found = self._read_owners()
         if isinstance(found, result.Err):
-            self.seen.missed()
+            self.sessions.mark_unreadable()
             return found
         sessions = table.scan_all(self.rows, f"session/{self.data_centre}/")
         if isinstance(sessions, result.Err):
-            self.seen.missed()
+            self.sessions.mark_unreadable()
             return sessions
-        self.seen.see(sessions.ok_value)
-        for lapsed in self.seen.lapsed():
-            self._end(lapsed)
-        self._drop_lost()
+        self.sessions.update(sessions.ok_value)
+        for lapsed in self.sessions.expired():
+            self._end_session(lapsed)
+        self._give_up_lost()
         if not self.lease.valid() or self.releasing:
             return result.Ok(None)
-        self._settle_retained()
-        self._take(listed)
+        self._reclaim_retained()
+        self._rebalance(listed)
         return result.Ok(None)
 
     def give_up_all(self) -> None:
@@ -150,10 +152,10 @@
         """
         self.counters.count("ownership.session_lost")
         log.warning("session lost")
-        given_up = list(self.owned)
+        given_up = list(self.owned_workers)
         for owned in given_up:
-            self._drop(owned, "ownership.lost")
-        self._await_quotes(given_up, self.clock.monotonic() + HANDOVER_WAIT)
+            self._give_up(owned, "ownership.lost")
+        self._await_quotes(given_up, self.clock.monotonic() + HANDOVER_TIMEOUT_S)
         self.lease.restart()
 
     def release_all(self, deadline: float) -> result.Result[None, errors.CommitError]:
@@ -163,12 +165,12 @@
         `deadline` for quotes in flight; durable work goes on where it runs.
         """
         self.releasing = True
-        given_up = list(self.owned)
+        given_up = list(self.owned_workers)
         for owned in given_up:
             owned.handover_deadline = deadline
         self._await_quotes(given_up, deadline)
         for owned in given_up:
-            self._drop(owned, "ownership.handed_over")
+            self._give_up(owned, "ownership.handed_over")
         closed = self.lease.release()
         if isinstance(closed, result.Ok):
             log.info("session released", workers=len(given_up))
@@ -181,7 +183,7 @@
             if self.clock.monotonic() >= deadline:
                 self.counters.count("ownership.quotes_outlast_handover")
                 return
-            self.clock.sleep(POLL_INTERVAL)
+            self.clock.sleep(POLL_INTERVAL_S)
 
     def _read_owners(self) -> result.Result[None, errors.Unavailable]:
         """Read the owner rows if any of them changed since the last time."""
@@ -199,11 +201,11 @@
         self.by_worker = {}
         for row in found.ok_value:
             owner = codec.from_json(row.value, messages.OwnerRow)
-            self.by_worker[owner.worker] = Known(owner, row.version)
+            self.by_worker[owner.worker] = VersionedOwnerRow(owner, row.version)
         self.epoch = version
         return result.Ok(None)
 
-    def _end(self, lapsed: session_observer.Sighting) -> None:
+    def _end_session(self, lapsed: session_observer.ObservedSession) -> None:
         """Mark a lapsed session ended, so that its holder can't renew it."""
         ended = dataclasses.replace(lapsed.row, ended=True)
         key = messages.session_key(ended.data_centre, ended.instance)
@@ -215,63 +217,63 @@
             self.counters.count("ownership.session_ended")
             log.info("session ended", other=ended.instance)
 
-    def _drop_lost(self) -> None:
-        for owned in self.owned:
+    def _give_up_lost(self) -> None:
+        for owned in self.owned_workers:
             known = self.by_worker.get(owned.name)
             if known is None or known.row.generation != owned.generation:
-                self._drop(owned, "ownership.lost")
+                self._give_up(owned, "ownership.lost")
 
-    def _drop(self, owned: placed.OwnedWorker, reason: str) -> None:
+    def _give_up(self, owned: placed.OwnedWorker, reason: str) -> None:
         owned.ledger.closed = True
-        self.owned.remove(owned.name)
+        self.owned_workers.remove(owned.name)
         for listener in self.listeners:
             listener.on_lost(owned)
         self.counters.count(reason)
         log.info("worker given up", worker=owned.name, why=reason)
 
-    def _settle_retained(self) -> None:
+    def _reclaim_retained(self) -> None:
         """Use again what earlier owners kept, once they are known to be gone.
 
         The row is written first: were this instance to lapse in between, the
         next taker must not compute its share from a larger promise than it
         used.
         """
-        for owned in self.owned:
+        for owned in self.owned_workers:
             known = self.by_worker.get(owned.name)
             if known is None:
                 continue
             left = self._still_retained(known.row)
             if left == known.row.retained:
-                owned.ledger.promised = known.row.promised()
+                owned.ledger.promised = known.row.retained_budgets()
                 continue
-            snapshot = self.bench.look_at(owned.worker)
+            snapshot = self.connector.fetch_snapshot(owned.worker)
             if snapshot is None:
                 continue
             # A run that is gone can have left quotes that are still running,
             # begun since the last list; they must be seen before its promise
             # ends, or their room would be given twice.
-            owned.ledger.follow(takeover.running(snapshot), owned.generation)
+            owned.ledger.follow(takeover.running_reports(snapshot), owned.generation)
             row = dataclasses.replace(known.row, retained=left)
             if isinstance(self._write(row, known), result.Ok):
-                owned.ledger.promised = row.promised()
+                owned.ledger.promised = row.retained_budgets()
                 self.counters.count("ownership.retention_ended")
 
     def _still_retained(self, row: messages.OwnerRow) -> tuple[messages.Retention, ...]:
         return tuple(
             retention
             for retention in row.retained
-            if not self._stopped(retention.instance, retention.incarnation)
+            if not self._has_stopped(retention.instance, retention.incarnation)
         )
 
-    def _stopped(self, instance: str, incarnation: str) -> bool:
+    def _has_stopped(self, instance: str, incarnation: str) -> bool:
         """Tell whether this run certainly starts nothing any more."""
-        if self.seen.replaced(instance, incarnation):
+        if self.sessions.has_stopped(instance, incarnation):
             return True
-        return self.absences.gone(instance)
+        return self.absences.is_gone(instance)
 
-    def _take(self, listed: cabc.Sequence[inventory.Worker]) -> None:
+    def _rebalance(self, listed: cabc.Sequence[inventory.Worker]) -> None:
         own_name = self.lease.row.instance
-        live = [row.instance for row in self.seen.live()]
+        live = [row.instance for row in self.sessions.live()]
         if own_name not in live:
             return
         assigned = shares.assign([worker.name for worker in listed], live)
@@ -279,7 +281,9 @@
         for worker in listed:
             known = self.by_worker.get(worker.name)
             if known is not None and self._is_own(known.row):
-                self._keep(worker, known, assigned[worker.name] == own_name)
+                self._keep_or_hand_over(
+                    worker, known, assigned[worker.name] == own_name
+                )
             elif assigned[worker.name] == own_name and self._is_free(known):
                 claims.append(gevent.spawn(self._claim, worker, known))
         gevent.joinall(claims)
@@ -288,14 +292,18 @@
         own = self.lease.row
         return (row.instance, row.incarnation) == (own.instance, own.incarnation)
 
-    def _is_free(self, known: Known | None) -> bool:
+    def _is_free(self, known: VersionedOwnerRow | None) -> bool:
         if known is None:
             return True
-        return not self.seen.holds(known.row.instance, known.row.incarnation)
+        return not self.sessions.may_hold_leases(
+            known.row.instance, known.row.incarnation
+        )
 
-    def _keep(self, worker: inventory.Worker, known: Known, ours: bool) -> None:
+    def _keep_or_hand_over(
+        self, worker: inventory.Worker, known: VersionedOwnerRow, ours: bool
+    ) -> None:
         """Go on with a worker that is owned, or hand it over to whose share it is."""
-        owned = self.owned.get(worker.name)
+        owned = self.owned_workers.get(worker.name)
         if owned is None:
             # The answer to our claim was lost after the write had taken effect;
             # without this nobody would ever use the worker.
@@ -306,19 +314,19 @@
             owned.handover_deadline = None
             return
         if owned.handover_deadline is None:
-            owned.handover_deadline = self.clock.monotonic() + HANDOVER_WAIT
+            owned.handover_deadline = self.clock.monotonic() + HANDOVER_TIMEOUT_S
         over = self.clock.monotonic() >= owned.handover_deadline
         if owned.ledger.reserved and not over:
             return
         if owned.ledger.idempotent:
             # Quotes are bounded by their deadlines; they are never cut off.
             return
-        self._drop(owned, "ownership.handed_over")
+        self._give_up(owned, "ownership.handed_over")
         row = dataclasses.replace(known.row, instance="", incarnation="")
         if isinstance(self._write(row, known), result.Err):
             self.counters.count("ownership.handover_unwritten")
 
-    def _claim(self, worker: inventory.Worker, known: Known | None) -> None:
+    def _claim(self, worker: inventory.Worker, known: VersionedOwnerRow | None) -> None:
         row = messages.OwnerRow(
             worker.name,
             self.lease.row.instance,
@@ -326,7 +334,7 @@
             known.row.generation + 1 if known else 1,
             self._retained_after(worker, known.row) if known else (),
         )
-        version = Known(row, known.version if known else table.ABSENT)
+        version = VersionedOwnerRow(row, known.version if known else table.ABSENT)
         if not self.lease.valid():
             return
         if isinstance(self._write(row, version), result.Ok):
@@ -339,10 +347,10 @@
         left = self._still_retained(previous)
         if not previous.instance:
             return left
-        if self._stopped(previous.instance, previous.incarnation):
+        if self._has_stopped(previous.instance, previous.incarnation):
             return left
-        snapshot = self.bench.look_at(worker)
-        reports = takeover.running(snapshot) if snapshot else None
+        snapshot = self.connector.fetch_snapshot(worker)
+        reports = takeover.running_reports(snapshot) if snapshot else None
         # All that the earlier row promised counts, also what has ended since:
         # the owner may not have known that when it lapsed.
         kept = takeover.retention_of(previous, worker.capacity, reports)
@@ -351,7 +359,7 @@
         return (*left, kept)
 
     def _write(
-        self, row: messages.OwnerRow, known: Known
+        self, row: messages.OwnerRow, known: VersionedOwnerRow
     ) -> result.Result[int, errors.CommitError]:
         """Write an owner row over the one that was read, and move the epoch on."""
         key = messages.owner_key(self.data_centre, row.worker)
@@ -366,9 +374,9 @@
         return self.rows.commit(transaction)
 
     def _adopt(self, worker: inventory.Worker, row: messages.OwnerRow) -> None:
-        owned = self.bench.adopt(worker, row.generation)
-        owned.ledger.promised = row.promised()
-        self.owned.add(owned)
+        owned = self.connector.connect(worker, row.generation)
+        owned.ledger.promised = row.retained_budgets()
+        self.owned_workers.add(owned)
         self.counters.count("ownership.taken")
         log.info("worker taken", worker=worker.name, generation=row.generation)
         for listener in self.listeners:
--- a/src/mangosail/ownership/session.py
+++ b/src/mangosail/ownership/session.py
@@ -11,12 +11,12 @@
 from mangosail.platform import errors, table
 
 #: Seconds for which a renewal holds, counted from before it was sent.
-TERM = 3.0
+LEASE_DURATION_S = 3.0
 #: Seconds between renewals.
-RENEWAL_INTERVAL = 1.0
+RENEWAL_INTERVAL_S = 1.0
 
 
-def first_row(
+def new_session_row(
     instance: str, data_centre: str, peer_address: str
 ) -> messages.SessionRow:
     """Return the row of a new run of `instance`, before its first renewal."""
@@ -37,17 +37,17 @@
         rows: table.Table,
         clock: clocks.Clock,
         row: messages.SessionRow,
-        term: float = TERM,
+        lease_duration: float = LEASE_DURATION_S,
     ) -> None:
         self.rows = rows
         self.clock = clock
         self.row = row
-        self.term = term
+        self.lease_duration = lease_duration
         self.version: int | None = None
         #: Monotonic time at which the lease ends; 0 before the first renewal.
         self.deadline = 0.0
         #: True if the table was out of reach at the latest renewal.
-        self.away = False
+        self.table_unreachable = False
         #: True after a planned stop: the row is never written again.
         self.closed = False
 
@@ -60,9 +60,9 @@
         """Tell whether the lease holds now; ask before each side effect."""
         return self.clock.monotonic() < self.deadline
 
-    def may_take(self) -> bool:
+    def may_claim(self) -> bool:
         """Tell whether workers may be taken, now or once the lease is renewed."""
-        return self.valid() or not self.away
+        return self.valid() or not self.table_unreachable
 
     def start_deadline(self) -> float:
         """Return the wall time until which a start sent now may begin.
@@ -94,7 +94,7 @@
     def renew(self) -> result.Result[None, errors.CommitError]:
         """Move the lease on; `Conflict` means that it was taken away for good."""
         renewed = self._renew()
-        self.away = isinstance(renewed, result.Err) and not isinstance(
+        self.table_unreachable = isinstance(renewed, result.Err) and not isinstance(
             renewed.err_value, errors.Conflict
         )
         return renewed
@@ -108,7 +108,7 @@
         if isinstance(renewed, result.Err) and isinstance(
             renewed.err_value, errors.Conflict
         ):
-            return self._settle(renewed.err_value)
+            return self._resolve_conflict(renewed.err_value)
         return renewed
 
     def release(self) -> result.Result[None, errors.CommitError]:
@@ -124,7 +124,7 @@
         self.version = committed.ok_value
         return result.Ok(None)
 
-    def _settle(
+    def _resolve_conflict(
         self, conflict: errors.Conflict
     ) -> result.Result[None, errors.CommitError]:
         """Tell a lost answer of our own from a lease that was taken away.
@@ -145,13 +145,13 @@
 
     def _write(self, version: int) -> result.Result[None, errors.CommitError]:
         sent_at = self.clock.monotonic()
-        lease_deadline = self.clock.wall() + self.term
+        lease_deadline = self.clock.wall() + self.lease_duration
         row = dataclasses.replace(self.row, lease_deadline=lease_deadline)
         committed = self._commit(row, version)
         if isinstance(committed, result.Err):
             return committed
         self.version = committed.ok_value
-        self.deadline = sent_at + self.term
+        self.deadline = sent_at + self.lease_duration
         return result.Ok(None)
 
     def _commit(
--- a/src/mangosail/ownership/takeover.py
+++ b/src/mangosail/ownership/takeover.py
@@ -13,12 +13,14 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds between attempts to fence a worker that does not answer.
-RETRY_INTERVAL = 0.2
+RETRY_INTERVAL_S = 0.2
 #: Seconds that one attempt may take.
-FENCE_TIMEOUT = 1.0
+FENCE_TIMEOUT_S = 1.0
 
 
-def running(snapshot: dispatch_messages.Snapshot) -> list[dispatch_messages.Report]:
+def running_reports(
+    snapshot: dispatch_messages.Snapshot,
+) -> list[dispatch_messages.Report]:
     """Return the reports of tasks that run."""
     state = dispatch_messages.TaskState.RUNNING
     return [report for report in snapshot.tasks if report.state is state]
@@ -36,7 +38,7 @@
     durable work.
     """
     durable = [r.needs for r in reports or () if not r.idempotent]
-    promised = sum(previous.promised().values(), resources.Resources())
+    promised = sum(previous.retained_budgets().values(), resources.Resources())
     budget = ledger.kept_after_expiry(
         capacity - promised, sum(durable, resources.Resources())
     )
@@ -54,7 +56,7 @@
     arrive after the ledger was rebuilt. Returns False if ownership ended first.
     """
     while not owned.ledger.closed:
-        deadline = clock.monotonic() + FENCE_TIMEOUT
+        deadline = clock.monotonic() + FENCE_TIMEOUT_S
         # A lease deadline of 0 moves no task's lease.
         answer = owned.target.renew(0.0, owned.generation, deadline)
         if isinstance(answer, result.Ok):
@@ -62,5 +64,5 @@
         counters.count("ownership.fence_failed")
         if isinstance(answer.err_value, dispatch_errors.Refused):
             counters.count("ownership.fence_refused")
-        clock.sleep(RETRY_INTERVAL)
+        clock.sleep(RETRY_INTERVAL_S)
     return False
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -104,7 +104,7 @@
         resp.status = answer.status
         resp.text = answer.text
         if answer.refusal is not None:
-            headers.come_back(resp, answer.refusal.retry_after)
+            headers.set_retry_after(resp, answer.refusal.retry_after)
 
     def _behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
         """Tell whether a peer may have answered by a newer configuration.
@@ -251,7 +251,7 @@
         resp.context.away = reason in errors.LOCAL_REASONS
         resp.status = falcon.HTTP_SERVICE_UNAVAILABLE
         resp.text = codec.to_json({"title": reason, "retry_after": retry_after})
-        headers.come_back(resp, retry_after)
+        headers.set_retry_after(resp, retry_after)
 
     def on_fault(
         self, req: falcon.Request, resp: falcon.Response, ex: Exception, params: t.Any
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -105,7 +105,7 @@
             self.readiness.app, self.settings.listen_addrs.ready, self.counters
         )
         ready.start()
-        self.gate = server.Gate(self.ingress.app, self.counters)
+        self.gate = server.RequestLimiter(self.ingress.app, self.counters)
         self.front = server.create(
             self.gate, self.settings.listen_addrs.front, self.counters
         )
--- a/src/mangosail/upkeep.py
+++ b/src/mangosail/upkeep.py
@@ -18,10 +18,10 @@
 log = logbook.Logger("upkeep")
 
 #: What a peer must have free for an instance without workers to be ready.
-LEAST_ROOM = resources.Resources(slots=1)
+MIN_PEER_CAPACITY = resources.Resources(slots=1)
 
 
-class Loops:
+class PeriodicTasks:
     """Tasks that repeat a step each, for as long as the process runs."""
 
     def __init__(self, clock: clocks.Clock, counters: telemetry.Counters) -> None:
@@ -51,13 +51,13 @@
         self,
         listing: listed.Listed,
         ownership: owners.Owners,
-        owned: workers.Workers,
+        owned_workers: workers.Workers,
         peers: membership.Peers,
         front: context.Front,
     ) -> None:
         self.listed = listing
         self.owners = ownership
-        self.owned = owned
+        self.owned_workers = owned_workers
         self.peers = peers
         self.front = front
 
@@ -73,8 +73,8 @@
         """Read the platform's list, then take and give up workers by it."""
         if self.listed.refresh():
             self.peers.update(self.listed.listing.instances)
-            self.owners.absences.see(self.listed.present())
-            self._note_leaving()
+            self.owners.absences.update(self.listed.present())
+            self._mark_leaving()
         if self.front.draining:
             return
         self.owners.refresh(self.listed.live(self.peers.data_centre))
@@ -86,13 +86,13 @@
         Where there are more instances than workers, some own none: they pass
         on what callers send them.
         """
-        if any(owned.accepts() for owned in self.owned):
+        if any(owned.accepts() for owned in self.owned_workers):
             return True
-        return bool(self.peers.with_room(LEAST_ROOM, self.peers.data_centre))
+        return bool(self.peers.with_capacity(MIN_PEER_CAPACITY, self.peers.data_centre))
 
-    def _note_leaving(self) -> None:
+    def _mark_leaving(self) -> None:
         """Give workers that the platform lists as leaving no new work."""
         for worker in self.listed.leaving():
-            owned = self.owned.get(worker.name)
+            owned = self.owned_workers.get(worker.name)
             if owned is not None:
                 owned.leaving = True
--- a/src/mangosail/work/forwarding.py
+++ b/src/mangosail/work/forwarding.py
@@ -33,7 +33,7 @@
         self, request: messages.Request, deadline: float
     ) -> result.Result[messages.WorkAnswer, str] | None:
         """Have one peer claim `request`; None if no peer has room."""
-        for peer in self.peers.with_room(request.needs, self.data_centre)[:1]:
+        for peer in self.peers.with_capacity(request.needs, self.data_centre)[:1]:
             left = deadline - self.clock.monotonic()
             message = messages.ForwardedWork(request, min(max(left, 0.0), PEER_WAIT_S))
             self.counters.count("work.forwarded")
--- a/src/mangosail/work/leases.py
+++ b/src/mangosail/work/leases.py
@@ -1,7 +1,7 @@
 """Leases of tasks: one row and one order for each worker, however much it runs.
 
 The row is written first, the worker told after it, and told a time that ends
-`CLOCK_SKEW_MARGIN` earlier. So a task may only run while the table says so, and
+`CLOCK_SKEW_MARGIN_S` earlier. So a task may only run while the table says so, and
 whoever sees the table's time pass may count the task as stopped.
 """
 
@@ -54,7 +54,7 @@
         if not self.ctx.may_act(owned):
             return
         told = owned.target.renew(
-            written.ok_value - clocks.CLOCK_SKEW_MARGIN,
+            written.ok_value - clocks.CLOCK_SKEW_MARGIN_S,
             owned.generation,
             self.ctx.clock.monotonic() + context.ORDER_TIMEOUT_S,
         )
@@ -69,7 +69,7 @@
     def has_expired(self, row: messages.WorkRow) -> bool:
         """Tell whether the lease of a claimed task has certainly ended."""
         wall = self.ctx.clock.wall()
-        if wall <= row.lease_deadline + clocks.CLOCK_SKEW_MARGIN:
+        if wall <= row.lease_deadline + clocks.CLOCK_SKEW_MARGIN_S:
             return False
         key = messages.lease_key(row.worker)
         found = self.ctx.claims.rows.read([key])
@@ -77,7 +77,8 @@
             return False
         lease = found.ok_value.get(key)
         return (
-            lease is None or wall > lease_deadline_of(lease) + clocks.CLOCK_SKEW_MARGIN
+            lease is None
+            or wall > lease_deadline_of(lease) + clocks.CLOCK_SKEW_MARGIN_S
         )
 
     def _write_lease(
--- a/src/mangosail/work/starts.py
+++ b/src/mangosail/work/starts.py
@@ -83,7 +83,7 @@
             task_id=task.task_id,
             generation=row.generation,
             owner_generation=task.owned.generation,
-            lease_deadline=row.lease_deadline - clocks.CLOCK_SKEW_MARGIN,
+            lease_deadline=row.lease_deadline - clocks.CLOCK_SKEW_MARGIN_S,
             team=row.request.team,
             kind=row.request.kind,
             needs=task.owned.ledger.reserved.get(task.task_id, row.request.needs),
--- a/tests/dispatch/steps/dispatch_steps.py
+++ b/tests/dispatch/steps/dispatch_steps.py
@@ -268,9 +268,11 @@
 def judged(context, sent, connection, patience, answer, verdict):
     attempt = attempts.Attempt(None, None, 0.0, None)
     if sent != "never":
-        attempt.sent(10.0, patience, proven=connection == "an earlier connection")
-        attempt.given_up_at = 10.0 + float(sent)
-    assert attempt.silenced(answer) == (verdict == "silenced")
+        attempt.mark_sent(
+            10.0, patience, reused_connection=connection == "an earlier connection"
+        )
+        attempt.ended_at = 10.0 + float(sent)
+    assert attempt.connection_went_silent(answer) == (verdict == "silenced")
 
 
 @then("no worker held more than {most:d} connections")
--- a/tests/front/steps/front_steps.py
+++ b/tests/front/steps/front_steps.py
@@ -394,7 +394,9 @@
     front.counters = context.counted = counters.StatsdCounters(None, 0)
     front.clock.monotonic = time.monotonic
     front.read.side_effect = ZeroDivisionError("inner workings")
-    context.gate = server.Gate(app.create(front, mock.MagicMock()), front.counters)
+    context.gate = server.RequestLimiter(
+        app.create(front, mock.MagicMock()), front.counters
+    )
 
 
 def refused_inside(context, status, title, outcome):
@@ -414,9 +416,9 @@
 
 @then('with all requests in hand one more is answered {status:d} "{title}"')
 def overloaded(context, status, title):
-    context.gate.in_hand = server.MOST_REQUESTS
+    context.gate.in_hand = server.MAX_REQUESTS
     answer = refused_inside(context, status, title, "not_run")
-    assert answer.headers["retry-after"] == str(server.COME_BACK)
+    assert answer.headers["retry-after"] == str(server.RETRY_AFTER_S)
     assert context.counted.snapshot()["front.refused.overloaded"] == 1
     looked = testing.TestClient(context.gate).simulate_get("/healthz")
     assert looked.status_code == 200
--- a/tests/jobs/steps/offers_steps.py
+++ b/tests/jobs/steps/offers_steps.py
@@ -45,10 +45,10 @@
         self.peers = peers
         self.by_name = {}
 
-    def with_room(self, needs, data_centre):
+    def with_capacity(self, needs, data_centre):
         return self.peers[:1]
 
-    def without_room(self, needs, data_centre):
+    def without_capacity(self, needs, data_centre):
         return self.peers[1:]
 
 
--- a/tests/ownership/shares_machine.py
+++ b/tests/ownership/shares_machine.py
@@ -123,7 +123,7 @@
         self.row = messages.OwnerRow(
             "w", holder.name, holder.name, holder.generation, retained
         )
-        holder.ledger.promised = self.row.promised()
+        holder.ledger.promised = self.row.retained_budgets()
         self.fenced = holder.generation
         holder.ledger.rebuild(self.running.values(), holder.generation)
         self.holders.append(holder)
@@ -145,7 +145,7 @@
             "w", self.owner.name, self.owner.name, self.owner.generation, retained
         )
         self.owner.ledger.follow(self.running.values(), self.owner.generation)
-        self.owner.ledger.promised = self.row.promised()
+        self.owner.ledger.promised = self.row.retained_budgets()
 
     def still_retained(self):
         return tuple(r for r in self.row.retained if r.instance not in self.released)
--- a/tests/ownership/steps/table_steps.py
+++ b/tests/ownership/steps/table_steps.py
@@ -28,19 +28,19 @@
         self.owners = owners.Owners(
             rows,
             self.lease,
-            session_observer.Sightings(clock, self.lease.term),
+            session_observer.SessionObserver(clock, self.lease.lease_duration),
             self.workers,
             self,
             (self,),
             clock,
             counters.StatsdCounters(None, 0),
         )
-        self.owners.absences.see(["a", "b"])
+        self.owners.absences.update(["a", "b"])
 
-    def adopt(self, worker, generation):
+    def connect(self, worker, generation):
         return workers.OwnedWorker(worker, generation, None, self.lease.valid)
 
-    def look_at(self, worker):
+    def fetch_snapshot(self, worker):
         return self.snapshot
 
     def on_taken(self, owned):
