--- a/src/mangosail/scheduler/reports.py
+++ b/src/mangosail/scheduler/reports.py
@@ -85,7 +85,8 @@
         self.counters.count(f"workers.lost.{why}")
         log.warning(
             "worker lost", worker=worker.name, reason=why, tasks=len(worker.tasks),
-            draining=worker.entry.draining, silent=round(now - worker.last_contact_at, 3),
+            draining=worker.entry.draining,
+            silent=round(now - worker.last_contact_at, 3),
         )  # fmt: skip
         tasks = list(worker.tasks.values())
         for task in tasks:
@@ -115,7 +116,8 @@
         self.counters.count(f"reports.suspected.{why}")
         log.info(
             "suspected", task=task.name, run=task.run, worker=worker.name, reason=why,
-            late=suspect.started_recently, crashes=task.crashes, clear=task.certain_crashes,
+            late=suspect.started_recently, crashes=task.crashes,
+            clear=task.certain_crashes,
         )  # fmt: skip
         if crashes.exceeds_crash_limit(task):
             self.give_up(task.job)
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -570,4 +570,4 @@
     return messages.Step(count, need, estimate=1.0, **facts)
 
 
-__all__ = ["World", "polling", "job", "step"]
+__all__ = ["World", "job", "polling", "step"]
