--- a/src/mangosail/scheduler/admission.py
+++ b/src/mangosail/scheduler/admission.py
@@ -1,10 +1,11 @@
-"""How much of the workers' cores continuous jobs may take.
-
-Continuous work holds its room for minutes and short work has to do with the rest, so it
-is bounded when it is handed in: a job over the bound is refused at once, and its
-caller told to come back. The row `CONTINUOUS` holds what was accepted; accepting a
-continuous job checks and replaces it, so instances can't exceed the bound together.
-The leader says what the bound is, and gives back what ended jobs had.
+"""Admission of continuous jobs, bounded by a share of the workers' cores.
+
+Continuous tasks hold their cores for minutes and leave the rest to short tasks, so
+their total is bounded at submission: a job that would exceed the limit is rejected at
+once, and its caller is told to retry. The row `CONTINUOUS` holds the cores reserved by
+accepted jobs. Accepting a continuous job checks and replaces this row in one
+transaction, so instances can't exceed the limit together. The leader publishes the
+limit, and releases the cores of jobs that have ended.
 """
 
 import dataclasses
@@ -20,26 +21,26 @@
 
 log = logbook.Logger("admission")
 
-#: Share of all cores that continuous jobs may take. They must still fit when a data
-#: centre is lost, and best-effort work disturbs them, so it needs workers of its own.
-#: At 0.5 three of ten releases were late on days of high load, at 0.45 one of ten (mean
-#: of two days each).
+#: Share of all cores that continuous jobs may reserve. They must still fit when a data
+#: centre is lost, and best-effort work raises their tail latencies, so it needs workers
+#: of its own. At 0.5 three of ten releases were late on days of high load, at 0.45 one
+#: of ten (mean of two days each).
 CONTINUOUS_SHARE = 0.45
-#: Seconds between looks at whether room can be given back.
+#: Seconds between checks whether cores can be released.
 RECONCILE_INTERVAL_S = 1.0
-#: Seconds by which the leader has surely heard of each job that was accepted.
+#: Seconds within which the leader learns of every accepted job.
 PROPAGATION_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ContinuousReservation:
-    """Cores of the accepted continuous jobs and are not over."""
+    """Cores reserved by accepted continuous jobs that have not ended."""
 
     cores: float = 0.0
 
 
 def continuous_cores(job: messages.Job) -> float:
-    """Return the cores that a job holds for as long as it lasts."""
+    """Return the cores that a job reserves until it ends."""
     return sum(
         step.count * step.need.cpus
         for step in job.steps
@@ -48,13 +49,13 @@
 
 
 def continuous_core_limit(workers: fleet.Fleet) -> float:
-    """Return the cores that continuous jobs may take together."""
+    """Return the cores that continuous jobs may reserve in total."""
     usable = [worker for worker in workers if not worker.unlisted]
     return CONTINUOUS_SHARE * sum(worker.entry.capacity.cpus for worker in usable)
 
 
 class ReservationReconciler:
-    """Gives back the room of jobs that are over; for the leader."""
+    """Releases the cores of ended jobs; runs on the leader."""
 
     def __init__(
         self,
@@ -67,11 +68,11 @@
         self.jobs = jobs
         self.clock = clock
         self.counters = counters
-        #: What the row held when it was last read or written.
+        #: Cores that the row held when it was last read or written.
         self.last_known_cores: float | None = None
 
     def run(self) -> None:
-        """Give back for ever."""
+        """Reconcile the row periodically, without end."""
         while True:
             self.clock.sleep(RECONCILE_INTERVAL_S)
             if (
@@ -81,33 +82,37 @@
                 self.reconcile()
 
     def reconcile(self) -> None:
-        """Write what the jobs hold, unless another one was accepted meanwhile."""
-        found = self.rows.read([keys.CONTINUOUS])
-        if isinstance(found, result.Err):
+        """Write the cores in use, unless another job was accepted in the meantime."""
+        answer = self.rows.read([keys.CONTINUOUS])
+        if isinstance(answer, result.Err):
             return
-        row = found.ok_value.get(keys.CONTINUOUS)
+        row = answer.ok_value.get(keys.CONTINUOUS)
         version = row.version if row else table.ABSENT
-        taken = (
+        stored = (
             codec.from_json(row.value, ContinuousReservation)
             if row
             else ContinuousReservation()
         )
         self.clock.sleep(PROPAGATION_DELAY_S)
-        present = self._reserved_cores()
-        if abs(present - taken.cores) > 0.01:
+        current = self._reserved_cores()
+        if abs(current - stored.cores) > 0.01:
             transaction = table.Transaction(
                 (table.Check(keys.CONTINUOUS, version),),
                 (
                     table.Write(
-                        keys.CONTINUOUS, codec.to_json(ContinuousReservation(present))
+                        keys.CONTINUOUS, codec.to_json(ContinuousReservation(current))
                     ),
                 ),
             )
             if isinstance(self.rows.commit(transaction), result.Err):
                 self.counters.count("admission.return_failed")
                 return
-            log.info("room given back", before=taken.cores, after=present)
-        self.last_known_cores = present
+            log.info(
+                "continuous reservation reconciled",
+                before=stored.cores,
+                after=current,
+            )
+        self.last_known_cores = current
 
     def _reserved_cores(self) -> float:
         return sum(
--- a/src/mangosail/scheduler/advice.py
+++ b/src/mangosail/scheduler/advice.py
@@ -1,9 +1,10 @@
-"""Asking which workers may run a step, where a queue's policy says so.
+"""Tickets for steps whose queue requires advice on which workers may run them.
 
-The service names the workers that may run a step, each with a ticket that a start
-has to carry. Which workers may does not change, the tickets expire. One call for a
-step is on its way at a time; the service takes one call of an instance after the
-other, so workers with the most room are asked about first.
+The advice service names the workers that may run a step, and issues a ticket for each,
+which a start has to carry. The set of eligible workers does not change, but tickets
+expire. At most one call per step is in flight. The service handles the calls of an
+instance one after another, so the workers with the most free cores are asked about
+first.
 """
 
 import dataclasses
@@ -20,17 +21,17 @@
 
 log = logbook.Logger("advice")
 
-#: Workers that one call asks about; each costs the service time.
+#: Workers per call; each one adds to the service's processing time.
 MAX_WORKERS_PER_CALL = 30
-#: Share of a ticket's term after which it is not used any more.
+#: Share of a ticket's lifetime after which it is no longer used.
 USABLE_LIFETIME_SHARE = 0.8
-#: Seconds before a call that failed, or named no worker, is made again.
+#: Seconds before a call that failed, or returned no ticket, is retried.
 RETRY_INTERVAL_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tickets:
-    """Tickets by name of the worker, and the seconds for which they hold."""
+    """Tickets by worker name, and their lifetime in seconds."""
 
     by_worker: dict[str, str]
     lifetime: float
@@ -38,13 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceUnavailable:
-    """The service did not answer the question."""
+    """The advice service did not answer the call."""
 
     reason: str
 
 
 class Advisor(t.Protocol):
-    """The service that says which workers may run a step."""
+    """Service that decides which workers may run a step."""
 
     def ask(
         self, step: str, workers: list[str]
@@ -53,7 +54,7 @@
 
 
 class TicketCache:
-    """Tickets of the steps that need them."""
+    """Requests and caches the tickets of steps that need them."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         self.counters = counters
 
     def usable_tickets(self, step_run: progress.StepRun, now: float) -> dict[str, str]:
-        """Return the tickets that can be used now, and ask for more if none can."""
+        """Return the tickets that are valid now, and request new ones if none are."""
         if step_run.tickets and now < step_run.tickets_valid_until:
             return step_run.tickets
         if not step_run.advice_pending and now >= step_run.next_advice_at:
@@ -86,7 +87,9 @@
         step_run.advice_pending = False
         if isinstance(answer, result.Err):
             self.counters.count("advice.failed")
-            log.info("no advice", step=step_run.name, reason=answer.err_value.reason)
+            log.info(
+                "advice call failed", step=step_run.name, reason=answer.err_value.reason
+            )
             step_run.next_advice_at = self.clock.elapsed() + RETRY_INTERVAL_S
             return
         tickets = answer.ok_value
@@ -99,34 +102,37 @@
         if not tickets.by_worker:
             step_run.next_advice_at = self.clock.elapsed() + RETRY_INTERVAL_S
         log.info(
-            "advised", step=step_run.name, asked=len(names), may=len(tickets.by_worker)
+            "advice received",
+            step=step_run.name,
+            asked=len(names),
+            may=len(tickets.by_worker),
         )
         self.changed.set()
 
     def _candidates(self, step_run: progress.StepRun, now: float) -> list[str]:
-        """Return workers to ask about: those that may, then those not asked yet."""
+        """Return workers to ask about: known eligible ones, then unknown ones."""
         service = step_run.job.job.service
-        able = [
+        candidates = [
             worker
             for worker in self.workers
             if placing.is_eligible(step_run.step, worker, service, now)
             and worker.name not in step_run.refused_workers
         ]
-        able.sort(
+        candidates.sort(
             key=lambda worker: (
                 worker.name in step_run.approved_workers,
                 worker.free.cpus,
             ),
             reverse=True,
         )
-        return [worker.name for worker in able[:MAX_WORKERS_PER_CALL]]
+        return [worker.name for worker in candidates[:MAX_WORKERS_PER_CALL]]
 
 
 class NoAdvisor:
-    """Stands in where no such service is set: nobody may run an advised step."""
+    """Used where no advice service is configured: no advised step may run."""
 
     def ask(
         self, step: str, workers: list[str]
     ) -> result.Result[Tickets, AdviceUnavailable]:
-        """Say that there is no advice."""
-        return result.Err(AdviceUnavailable("no service is set"))
+        """Return an error, since no advice service is configured."""
+        return result.Err(AdviceUnavailable("no advice service is configured"))
--- a/src/mangosail/scheduler/interference.py
+++ b/src/mangosail/scheduler/interference.py
@@ -1,13 +1,14 @@
-"""How much best-effort work raises the tail latencies of the tasks beside it.
+"""Model of how best-effort work raises the tail latencies of tasks beside it.
 
-A latency-critical task behaves like a queue: with the share `y` of its time that it is
-busy, its tail latency is about ``base / (1 - y)``. Best-effort work adds to that::
+A latency-critical task behaves like a queue: at a utilization `y`, the share of time
+that it is busy, its tail latency is about ``base / (1 - y)``. Best-effort work adds to
+that::
 
     y = load * (1 + sum of pressure[image, best-effort image] * cores / capacity)
 
 The load of each latency-critical task and the pressure of each pair of images are
-learned from the latencies in the workers' looks. What is known decides where a
-best-effort task may start, and with `throttling` how fast those that run may work.
+learned from the latencies that workers report. The model decides where a best-effort
+task may start and, with `throttling`, how fast running ones may work.
 """
 
 import collections.abc as cabc
@@ -19,40 +20,42 @@
 
 EntryT = t.TypeVar("EntryT")
 
-#: Bytes of pressures and of bases that are kept, half of a row together: beside a job's
-#: record that fills a row, a transaction still takes a narrow link its usual time.
+#: Bytes of pressures and of bases that are stored, half of a row together: a
+#: transaction with them and a job record that fills a row takes no longer than usual on
+#: a narrow link.
 MAX_PRESSURES_BYTES = 18_000
 MAX_BASES_BYTES = 6_000
-#: Share of the target that a new task may bring a tail latency to.
+#: Share of the target up to which a new task may raise a tail latency.
 PLACEMENT_TARGET_SHARE = 0.62
-#: Pressure of two images that were not seen together, in shares of busy time for
-#: all of a worker's cores.
+#: Pressure assumed for two images that were never observed together: the relative
+#: increase of the load if the best-effort image used all cores of a worker.
 DEFAULT_PRESSURE = 6.0
-#: Share of an error by which the load and the pressures follow a latency. With these
-#: the mean error on the looks of a recorded day was 0.10 of busy time, against 0.29
-#: with loads alone.
+#: Learning rates of loads and pressures, as shares of the error. With these the mean
+#: error over the polls of a recorded day was 0.10 of busy time, against 0.29 with loads
+#: alone.
 LOAD_LEARNING_RATE = 0.25
 PRESSURE_LEARNING_RATE = 0.075
-#: Loads that a latency-critical task can have; keeps a wrong guess from running away.
+#: Bounds on the load of a latency-critical task; they keep a wrong estimate from
+#: diverging.
 MIN_LOAD = 0.05
 MAX_LOAD = 0.95
-#: Share of the target that a base is thought to be until latencies were seen.
+#: Base latency assumed until latencies were observed, as a share of the target.
 DEFAULT_BASE_SHARE = 0.25
 
 
 def is_latency_critical(step: messages.Step) -> bool:
-    """Tell whether tasks of the step have a tail latency to hold."""
+    """Return whether tasks of the step have a tail latency target."""
     return step.latency_target > 0 and not step.best_effort
 
 
 def has_high_latency(worker: fleet.Worker) -> bool:
-    """Tell whether a tail latency on the worker was too high at its last look."""
+    """Return whether a tail latency on the worker was too high at its last poll."""
     return any(task.latency_high_since is not None for task in worker.tasks.values())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelSnapshot:
-    """What is worth keeping of a model when another instance leads."""
+    """The part of a model that is stored for the next leader."""
 
     #: Latency-critical image, best-effort image, and the pressure.
     pressures: tuple[tuple[str, str, float], ...] = ()
@@ -60,31 +63,31 @@
 
 
 class Model:
-    """What is known of loads and pressures, and the latencies that follow."""
+    """Learned loads and pressures, and the latencies predicted from them."""
 
     def __init__(self) -> None:
         #: Pressure by latency-critical image and best-effort image.
         self.pressure: dict[tuple[str, str], float] = {}
-        #: Lowest tail latency seen of an image, in milliseconds.
+        #: Lowest tail latency observed for an image, in milliseconds.
         self.base: dict[str, float] = {}
         #: Load by name of the latency-critical task.
         self.load: dict[str, float] = {}
 
     def snapshot(self) -> ModelSnapshot:
-        """Return what is to be kept: what was learned last, as far as there is room."""
+        """Return what is to be stored: the values learned last, as far as they fit."""
         pressures = [(*pair, round(p, 2)) for pair, p in self.pressure.items()]
         return ModelSnapshot(
             newest_within(pressures, MAX_PRESSURES_BYTES),
             newest_within([*self.base.items()], MAX_BASES_BYTES),
         )
 
-    def restore(self, learned: ModelSnapshot) -> None:
-        """Go on with what an earlier leader has learned."""
-        self.pressure = {(first, second): p for first, second, p in learned.pressures}
-        self.base = dict(learned.bases)
+    def restore(self, stored: ModelSnapshot) -> None:
+        """Restore what an earlier leader has learned."""
+        self.pressure = {(first, second): p for first, second, p in stored.pressures}
+        self.base = dict(stored.bases)
 
     def utilization(self, step: messages.Step, latency: float) -> float:
-        """Return the share of time that a task with this tail latency is busy."""
+        """Return the utilization of a task with this tail latency."""
         base = self.base.get(step.image, step.latency_target * DEFAULT_BASE_SHARE)
         return 1 - base / max(latency, base * 1.02)
 
@@ -98,39 +101,42 @@
     def learn(
         self, worker: fleet.Worker, running: tuple[messages.RunningTask, ...]
     ) -> None:
-        """Take in the latencies on a worker, and what worked beside them."""
+        """Learn from the latencies on a worker and the best-effort work beside them."""
         shares = measured_shares(worker, running)
-        settled = worker.best_effort_images == frozenset(shares)
+        unchanged = worker.best_effort_images == frozenset(shares)
         worker.best_effort_images = frozenset(shares)
-        if not settled:
+        if not unchanged:
             return
-        for row in running:
-            task = worker.tasks.get(row.task)
+        for report in running:
+            task = worker.tasks.get(report.task)
             if (
                 task is not None
                 and is_latency_critical(task.step)
-                and row.measurement > 0
+                and report.measurement > 0
             ):
-                self._learn_latency(task, row.measurement, shares)
+                self._learn_latency(task, report.measurement, shares)
 
     def _learn_latency(
         self, task: progress.Task, latency: float, shares: dict[str, float]
     ) -> None:
         image = task.step.image
-        # Taken out and put back, it stands last, as what was learned last.
+        # Removing and reinserting the image moves it to the end, as the one learned
+        # last.
         self.base[image] = min(self.base.pop(image, latency), latency)
-        busy = self.utilization(task.step, latency)
+        utilization = self.utilization(task.step, latency)
         load = self.load.get(task.name)
         if load is None or not shares:
-            load = busy / (1 + self.added_load_factor(image, shares))
+            load = utilization / (1 + self.added_load_factor(image, shares))
             self.load[task.name] = min(max(load, MIN_LOAD), MAX_LOAD)
             return
-        error = busy - min(load * (1 + self.added_load_factor(image, shares)), 1.0)
+        error = utilization - min(
+            load * (1 + self.added_load_factor(image, shares)), 1.0
+        )
         total = sum(share * share for share in shares.values()) + 0.002
         for other, share in shares.items():
-            known = self.pressure.pop((image, other), DEFAULT_PRESSURE)
-            step = PRESSURE_LEARNING_RATE * error * share / total / max(load, 0.2)
-            self.pressure[image, other] = max(known + step, 0.0)
+            pressure = self.pressure.pop((image, other), DEFAULT_PRESSURE)
+            change = PRESSURE_LEARNING_RATE * error * share / total / max(load, 0.2)
+            self.pressure[image, other] = max(pressure + change, 0.0)
         load += LOAD_LEARNING_RATE * error
         self.load[task.name] = min(max(load, MIN_LOAD), MAX_LOAD)
 
@@ -139,9 +145,10 @@
         self.load.pop(task.name, None)
 
     def headroom(self, step: messages.Step, worker: fleet.Worker) -> float:
-        """Return how much busy time the latencies would leave beside a new task.
+        """Return the utilization headroom that would remain beside a new task.
 
-        Negative if one would come too close to its target; 1 if no such task is there.
+        Negative if a latency would come too close to its target; 1 if no
+        latency-critical task is there.
         """
         if not worker.latency_critical_count:
             return 1.0
@@ -158,24 +165,24 @@
         )
 
     def load_of(self, task: progress.Task) -> float:
-        """Return the load of a latency-critical task, or a guess."""
+        """Return the load of a latency-critical task, or a default."""
         return self.load.get(task.name, 0.5 if is_latency_critical(task.step) else 0.0)
 
 
 def newest_within(rows: cabc.Sequence[EntryT], max_bytes: int) -> tuple[EntryT, ...]:
-    """Return the last rows that take at most `most` bytes together.
+    """Return the last entries that take at most `max_bytes` together.
 
-    Images are never forgotten, and who hands jobs in may name a new one each time. When
-    all were kept, their row became longer than the store takes, and no transaction
-    with it took effect.
+    Images are never forgotten, and callers may name a new one with each job. When all
+    were stored, the row exceeded the size limit of the store, and no transaction with
+    it was committed.
     """
-    found = []
+    kept = []
     for row in reversed(rows):
         size = len(codec.to_json(row).encode()) + 1
         if size <= max_bytes:
             max_bytes -= size
-            found.append(row)
-    return tuple(reversed(found))
+            kept.append(row)
+    return tuple(reversed(kept))
 
 
 def measured_shares(
@@ -193,7 +200,7 @@
 
 
 def planned_shares(worker: fleet.Worker) -> dict[str, float]:
-    """Return the share of its cores that each best-effort image is to use."""
+    """Return the share of the worker's cores planned for each best-effort image."""
     cores = worker.entry.capacity.cpus
     shares: dict[str, float] = {}
     for task in worker.tasks.values():
--- a/src/mangosail/scheduler/orders.py
+++ b/src/mangosail/scheduler/orders.py
@@ -1,13 +1,13 @@
-"""Orders to workers: starts and stops, and what their answers mean.
+"""Start and stop orders to workers, and the handling of their answers.
 
-A start is sent once. Without an answer the run is in doubt: it may exist, or come
-into being later. It is over when a look shows it, or when the worker has answered
-a stop of it (which bars it) and a later look does not list it.
+A start is sent once. Without an answer it is unknown whether the run exists, and it may
+still begin later. This is settled when a poll lists the run, or when the worker has
+acknowledged a stop of it (which bars the run) and a later poll does not list it.
 
-The load this answers: a part of the orders gets no answer and is carried out seconds
-late. The worker is looked at as soon as an answer is late, and once more when it has
-answered the stop. Left to the looks that wait for ends, a doubt took 2 to 4 s to
-settle, and most jobs of a dozen tasks had one.
+This handles lost answers: some orders get no answer and are carried out seconds late.
+The worker is polled as soon as an answer is overdue, and once more when it has
+acknowledged the stop. With only the regular polls, which wait for ended runs, it took 2
+to 4 s to settle such a start, and most jobs of a dozen tasks had one.
 """
 
 import collections.abc as cabc
@@ -23,28 +23,28 @@
 
 log = logbook.Logger("orders")
 
-#: Seconds after which a start is void if the worker has not begun it. Short, so
-#: that a delayed one does harm no longer than this.
+#: Seconds after which a start expires if the worker has not begun it. Short, so that a
+#: delayed one does no harm for longer than this.
 START_TIMEOUT_S = 2.0
-#: Seconds after which the answer to a start is late: some twenty times what it takes.
-#: Looking at the worker costs one call, so it may be late for no reason.
+#: Seconds after which the answer to a start is overdue: about twenty times the usual
+#: latency. Polling the worker costs one call, so this may be too early at times.
 ANSWER_TIMEOUT_S = 0.25
-#: Seconds within which an order without an answer may be carried out late.
+#: Seconds within which an order without an answer may still be carried out.
 MAX_ORDER_DELAY_S = 12.0
 #: Seconds between attempts to stop a run on a worker that does not answer.
 STOP_RETRY_INTERVAL_S = 0.3
-#: Seconds for which a worker that refused for want of room gets nothing more.
+#: Seconds for which a worker that rejected a start for lack of room gets no tasks.
 NO_ROOM_BACKOFF_S = 0.15
-#: Seconds for which an unhealthy worker gets nothing more.
+#: Seconds for which an unhealthy worker gets no tasks.
 UNHEALTHY_BACKOFF_S = 1.0
-#: Seconds before a task is placed again whose start was rejected.
+#: Seconds before a task whose start was rejected is placed again.
 REJECTED_BACKOFF_S = 0.05
-#: Seconds before a task is placed again that a worker called invalid.
+#: Seconds before a task whose start was rejected as invalid is placed again.
 INVALID_BACKOFF_S = 5.0
 
 
 class Orders:
-    """Sends starts and stops, and settles what their answers say."""
+    """Sends start and stop orders, and processes their answers."""
 
     def __init__(
         self,
@@ -61,13 +61,14 @@
         self.changed = changed
         self.clock = clock
         self.counters = counters
-        #: Looks at a worker now and takes in what it lists; tells whether it answered.
+        #: Polls a worker immediately, processes its report, and returns whether it
+        #: answered.
         self.poll_now: cabc.Callable[[fleet.Worker], bool] = lambda worker: False
-        #: True once a worker has seen a higher token.
+        #: Set once a worker has seen a higher fencing token.
         self.fenced = gevent.event.Event()
 
     def start(self, task: progress.Task, worker: fleet.Worker) -> None:
-        """Start the task's present run, whose record is durable."""
+        """Start the task's current run, whose record is durable."""
         if task.phase is not progress.Phase.STARTING or task.worker != worker.name:
             return
         if worker.removed or not is_wanted(task):
@@ -76,11 +77,11 @@
             )
             return
         if worker.overcommitted:
-            # Its capacity has shrunk while the record was written.
+            # Its capacity shrank while the record was written.
             self._mark_not_started(task, worker, "no_room")
             return
         now = self.clock.elapsed()
-        heard_at = worker.last_contact_at
+        last_contact_at = worker.last_contact_at
         run = task.run
         deadline = int(worker.clock_at(now) + START_TIMEOUT_S * 1000)
         worker.lease_deadline = max(worker.lease_deadline, deadline)
@@ -99,7 +100,7 @@
         self.counters.time("orders.start", self.clock.elapsed() - now)
         worker = self._current_incarnation(worker)
         if task.run != run or task.phase is not progress.Phase.STARTING:
-            # A look has shown the run, or its end, or it was stopped as late.
+            # A poll has listed the run or its end, or it was stopped as overdue.
             return
         if isinstance(answer, result.Ok):
             if now >= worker.discovered_at and answer.ok_value >= worker.clock:
@@ -115,22 +116,22 @@
                 free=round(worker.free.cpus, 1), unused=round(worker.idle_cpus, 1),
                 latency_critical=worker.latency_critical_count,
                 best_effort=worker.best_effort_count,
-                heard=round(now - heard_at, 3),
+                heard=round(now - last_contact_at, 3),
             )  # fmt: skip
             return
         self._handle_start_error(task, worker, answer.err_value)
 
     def _current_incarnation(self, worker: fleet.Worker) -> fleet.Worker:
-        """Return the life of a worker that holds its tasks now."""
+        """Return the current incarnation of a worker, which holds its tasks."""
         return self.workers.get(worker.name) or worker
 
     def resolve_late_start(
         self, task: progress.Task, worker: fleet.Worker, run: int
     ) -> None:
-        """Find out what became of a start, if its answer has not come by now.
+        """Settle a start whose answer has not come by now.
 
-        Where the worker does not list the run it is stopped, which bars it, so that
-        the next one need not wait until this one can't begin any more.
+        If the worker does not list the run it is stopped, which bars it, so that the
+        next run need not wait until the deadline of this start has passed.
         """
         if not self._unanswered(task, run) or not self.poll_now(worker):
             return
@@ -191,7 +192,7 @@
     def _mark_not_started(
         self, task: progress.Task, worker: fleet.Worker, reason: str
     ) -> None:
-        """Take note that the run does not exist and never will."""
+        """Record that the run does not exist and never will."""
         worker.release(task)
         if task.step.gang:
             self.stop_gang(task, reason)
@@ -210,7 +211,7 @@
     def transfer(
         self, task: progress.Task, worker: fleet.Worker, successor: fleet.Worker
     ) -> None:
-        """Set a run aside in a worker's later life, where its start may yet arrive."""
+        """Move a run to a later incarnation, where its start may still arrive."""
         worker.release(task)
         successor.reserve(task)
         unsent = task.phase is progress.Phase.STARTING and task.start_sent_at is None
@@ -220,30 +221,30 @@
             task.stop_confirmed_at = None
             gevent.spawn(self._stop, task, successor, task.run, False)
 
-    def stop(self, task: progress.Task, worker: fleet.Worker, why: str) -> None:
-        """Stop the task's present run, in the background and until answered."""
+    def stop(self, task: progress.Task, worker: fleet.Worker, reason: str) -> None:
+        """Stop the task's current run, in the background and until answered."""
         if task.phase in (progress.Phase.STOPPING, progress.Phase.DONE):
             return
         if task.phase is progress.Phase.WAITING:
             return
-        surely_there = task.phase is progress.Phase.RUNNING
+        known_running = task.phase is progress.Phase.RUNNING
         task.phase = progress.Phase.STOPPING
         task.stop_confirmed_at = None
-        self.counters.count(f"orders.stop.{why}")
+        self.counters.count(f"orders.stop.{reason}")
         log.info(
-            "stopping", task=task.name, run=task.run, worker=worker.name, reason=why
+            "stopping", task=task.name, run=task.run, worker=worker.name, reason=reason
         )
-        gevent.spawn(self._stop, task, worker, task.run, surely_there)
+        gevent.spawn(self._stop, task, worker, task.run, known_running)
 
-    def stop_gang(self, task: progress.Task, why: str) -> None:
-        """Stop the other members of a gang, which wait for one that will not come."""
+    def stop_gang(self, task: progress.Task, reason: str) -> None:
+        """Stop the other members of a gang, of which one has not started."""
         for other in task.step_run.tasks:
             holder = self.workers.get(other.worker)
             if other is not task and holder is not None and other.run == task.run:
                 self.stop(other, holder, "gang")
 
     def stop_unknown(self, worker: fleet.Worker, row: messages.RunningTask) -> None:
-        """Stop a run that nobody wants, in the background."""
+        """Stop a run that is not wanted, in the background."""
         self.counters.count("orders.stop.unknown")
         log.info(
             "stopping", task=row.task, run=row.run, worker=worker.name, reason="unknown"
@@ -261,7 +262,8 @@
                 continue
             answer = self.client.stop(worker.entry, task.name, run, self.token)
             if worker.removed:
-                # Which life has answered is not known; the later one is told too.
+                # It is unknown which incarnation has answered; the later one is told
+                # too.
                 return
             if isinstance(answer, result.Ok):
                 if task.run == run:
@@ -272,7 +274,7 @@
                     self.fenced.set()
                     return
                 if answer.err_value.reason is not errors.Reason.NO_ROOM:
-                    # Nothing there that could be stopped any more.
+                    # Nothing is left there to be stopped.
                     self._mark_barred(task, worker, known_running)
                     return
             self.clock.sleep(STOP_RETRY_INTERVAL_S)
@@ -280,21 +282,21 @@
     def _mark_barred(
         self, task: progress.Task, worker: fleet.Worker, known_running: bool
     ) -> None:
-        """Note that the run can't begin any more, and see whether it had.
+        """Record that the run can't begin any more, and check whether it had.
 
-        One that is surely there ends later, and its end is listed.
+        One that is known to be running ends later, and its end is listed.
         """
         task.stop_confirmed_at = self.clock.elapsed()
         if not known_running:
             self.poll_now(worker)
 
     def throttle(self, task: progress.Task, worker: fleet.Worker, percent: int) -> None:
-        """Let a run work at `percent` of its speed."""
+        """Limit a run to `percent` of its full speed."""
         answer = self.client.throttle(
             worker.entry, task.name, task.run, percent, self.token
         )
-        done = isinstance(answer, result.Ok)
-        if done:
+        succeeded = isinstance(answer, result.Ok)
+        if succeeded:
             task.speed_limit = percent
             task.throttled_at = self.clock.elapsed()
             self.counters.count("orders.throttle")
@@ -302,10 +304,10 @@
             self.counters.count("orders.throttle_failed")
         log.info(
             "throttled", task=task.name, run=task.run, worker=worker.name,
-            percent=percent, done=done,
+            percent=percent, done=succeeded,
         )  # fmt: skip
 
 
 def is_wanted(task: progress.Task) -> bool:
-    """Tell whether the task should run at all."""
+    """Return whether the task should run at all."""
     return not task.job.ended and not task.job.cancelled
--- a/src/mangosail/scheduler/placing.py
+++ b/src/mangosail/scheduler/placing.py
@@ -1,53 +1,54 @@
-"""Which worker a task goes to."""
+"""Choice of the worker for each task."""
 
 import collections.abc as cabc
 import dataclasses
 
 from mangosail.scheduler import fleet, interference, messages, progress, ranking
 
-#: Cores that it is worth to a latency-critical task to be with others: they gather on
-#: few workers, and best-effort tasks, which disturb them, have the rest to themselves.
-#: More than any worker has, so that it decides before the room does.
+#: Bonus in cores for placing a latency-critical task beside others: they gather on few
+#: workers, and best-effort tasks, which raise their latencies, get the rest to
+#: themselves. More than any worker has, so that it outweighs free room.
 COLOCATION_WEIGHT = 1000.0
-#: Cores that it is worth to a best-effort task to leave busy time to
-#: latency-critical ones: all of it counts as much as 40 cores.
+#: Bonus in cores for a best-effort task that leaves headroom to latency-critical ones:
+#: the whole utilization counts as much as 40 cores.
 HEADROOM_WEIGHT = 40.0
-#: Busy time that a best-effort task must leave to the latency-critical ones beside it.
+#: Utilization headroom that a best-effort task must leave to the latency-critical ones
+#: beside it.
 MIN_HEADROOM = 0.0
-#: Cores that it costs a latency-critical task to go where a best-effort one runs.
+#: Penalty in cores for placing a latency-critical task beside a best-effort one.
 BEST_EFFORT_PENALTY = 20.0
-#: Cores that it is worth to other tasks to go beside latency-critical ones, where
+#: Bonus in cores for placing other tasks beside latency-critical ones, where
 #: best-effort tasks can't use the room.
 LATENCY_CRITICAL_WEIGHT = 8.0
-#: Cores that it is worth to be near the data; far from it a task takes a multiple
-#: of its time.
+#: Bonus in cores for being near the data; far from it a task takes several times as
+#: long.
 DATA_LOCALITY_WEIGHT = 2000.0
-#: Seconds for which a suspect waits for a worker where nothing has just begun.
+#: Seconds for which a suspect waits for a worker where nothing has just started.
 ISOLATION_TIMEOUT_S = 1.0
 #: Seconds after which a best-effort step is tried on all workers again, not only on
-#: those that have changed: what was learned elsewhere may have made room.
+#: changed ones: what the model learned from other workers may have made room.
 FULL_SEARCH_INTERVAL_S = 1.0
-#: Share of its cores that must be unused for a best-effort task to start. A
-#: latency-critical task uses less than is set aside for it; at 0.75 up to 100 of 448
-#: cores were unused while 300 tasks waited.
+#: Share of its cores that must be idle for a best-effort task to start. A
+#: latency-critical task uses less than it reserves; at 0.75 up to 100 of 448 cores were
+#: idle while 300 tasks waited.
 MIN_IDLE_CPU_SHARE = 0.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """A task and the worker that was chosen for it."""
+    """A task and the worker chosen for it."""
 
     task: progress.Task
     worker: fleet.Worker
 
 
 class Placer:
-    """Chooses workers by room, constraints and colocation."""
+    """Chooses workers by free resources, constraints and colocation."""
 
     def __init__(self, workers: fleet.Fleet, model: interference.Model) -> None:
         self.workers = workers
         self.model = model
-        #: Names of workers on which short tasks would take too long.
+        #: Names of workers that are too slow for short tasks.
         self.slow_workers: frozenset[str] = frozenset()
 
     def place(
@@ -57,27 +58,27 @@
         service: str,
         now: float,
     ) -> list[Placement]:
-        """Choose workers for as many of the tasks as fit, and reserve their room."""
+        """Choose workers for as many tasks as fit, and reserve their resources."""
         step = step_run.step
-        seen = next(self.workers.change_numbers)
+        change_number = next(self.workers.change_numbers)
         candidates = self._candidates(step, service, now)
         if step.gang:
             return self._place_gang(step_run, tasks, candidates, now)
-        whole = needs_full_search(step_run, now)
-        if not whole:
-            # The others had no room for it before, and nothing there has changed.
+        full_search = needs_full_search(step_run, now)
+        if not full_search:
+            # The others had no room for it before, and nothing has changed there.
             candidates = [
                 c for c in candidates if c.last_change > step_run.searched_change
             ]
-        chosen = self._place_tasks(step_run, tasks, candidates, now)
-        if len(chosen) < len(tasks):
-            step_run.searched_change = seen
-            if whole:
+        placements = self._place_tasks(step_run, tasks, candidates, now)
+        if len(placements) < len(tasks):
+            step_run.searched_change = change_number
+            if full_search:
                 step_run.full_search_at = now + FULL_SEARCH_INTERVAL_S
-        return chosen
+        return placements
 
     def has_room(self, step_run: progress.StepRun, service: str, now: float) -> bool:
-        """Tell whether one more task of the step could be placed now."""
+        """Return whether one more task of the step could be placed now."""
         return any(
             self._is_candidate(step_run.step, worker, service, now)
             and self._score(step_run, worker) is not None
@@ -92,10 +93,10 @@
         now: float,
     ) -> list[Placement]:
         """Choose a worker for one task, even if it may disturb those beside it."""
-        chosen = self.place(step_run, tasks, service, now)
-        if chosen or not step_run.step.best_effort:
-            return chosen
-        able = [
+        placements = self.place(step_run, tasks, service, now)
+        if placements or not step_run.step.best_effort:
+            return placements
+        candidates = [
             worker
             for worker in self.workers
             if is_eligible(step_run.step, worker, service, now)
@@ -105,18 +106,20 @@
                 or worker.name in step_run.allowed_workers
             )
         ]
-        if not able:
+        if not candidates:
             return []
-        best = max(able, key=lambda worker: self._low_impact_key(step_run.step, worker))
+        best = max(
+            candidates, key=lambda worker: self._low_impact_key(step_run.step, worker)
+        )
         best.reserve(tasks[0])
         return [Placement(tasks[0], best)]
 
     def _low_impact_key(
         self, step: messages.Step, worker: fleet.Worker
     ) -> tuple[bool, float, float]:
-        """Return how little a best-effort task would harm there; more is better.
+        """Return a sort key of the harm a best-effort task would do; higher is less.
 
-        All workers without latency-critical tasks leave the same busy time. When that
+        All workers without latency-critical tasks have the same headroom. When that
         alone decided, such jobs all went to one of them, 30 tasks to 64 cores.
         """
         room = self.model.headroom(step, worker)
@@ -134,7 +137,7 @@
     def _is_candidate(
         self, step: messages.Step, worker: fleet.Worker, service: str, now: float
     ) -> bool:
-        """Tell whether a worker may run tasks of the step, and has room for one."""
+        """Return whether a worker may run tasks of the step, and has room for one."""
         return (
             is_eligible(step, worker, service, now)
             and fits(step, worker)
@@ -148,15 +151,15 @@
         candidates: list[fleet.Worker],
         now: float,
     ) -> list[Placement]:
-        """Give one task after the other to the worker that is best by then.
+        """Place one task after the other on the worker that is best by then.
 
-        Only the worker that was chosen is scored again. Scoring all of them for
-        each task took 200 ms a pass with 150 tasks waiting and 24 workers.
+        Only the chosen worker is scored again. Scoring all workers for each task took
+        200 ms a round with 150 tasks waiting and 24 workers.
         """
         ranked = ranking.Ranking(
             {worker: self._score(step_run, worker) for worker in candidates}
         )
-        chosen = []
+        placements = []
         for task in tasks:
             if task.suspect:
                 best = safest_worker(ranked.scores, now)
@@ -165,20 +168,21 @@
             if best is None:
                 break
             if defers_suspect(task, best, now):
-                # Until then nothing begins there, so that it can begin alone.
+                # Nothing is placed there until then, so that the suspect starts in
+                # isolation.
                 ranked.rank(best, None)
                 best.avoid_until = task.not_before = now + fleet.ISOLATED_START_S
                 continue
             best.reserve(task)
-            chosen.append(Placement(task, best))
+            placements.append(Placement(task, best))
             ranked.rank(best, self._score(step_run, best))
             if task.suspect and not task.step.gang:
                 best.isolated_suspect = task
                 ranked.rank(best, None)
-        return chosen
+        return placements
 
     def _score(self, step_run: progress.StepRun, worker: fleet.Worker) -> float | None:
-        """Return how well the step goes to a worker; None if it does not fit."""
+        """Return the score of the step on a worker; None if it does not fit."""
         step = step_run.step
         if not fits(step, worker):
             return None
@@ -187,14 +191,14 @@
             and worker.name not in step_run.allowed_workers
         ):
             return None
-        most = step.most_per_worker
-        if most and worker.count_of_step(step_run) >= most:
+        limit = step.most_per_worker
+        if limit and worker.count_of_step(step_run) >= limit:
             return None
         score = score_of(step, worker)
         if step.best_effort and worker.latency_critical_count:
             if interference.has_high_latency(worker):
-                # What is stopped there counts as no pressure. To the model there was
-                # room again after each stop, and a new one kept the latency high.
+                # Paused tasks count as no pressure, so the model saw room again after
+                # each pause, and each new task kept the latency high.
                 return None
             room = self.model.headroom(step, worker)
             if room < MIN_HEADROOM:
@@ -209,23 +213,23 @@
         candidates: list[fleet.Worker],
         now: float,
     ) -> list[Placement]:
-        """Place all members or none: one alone would only hold its room."""
+        """Place all members or none: a single one would only block its resources."""
         if len(tasks) < len(step_run.tasks):
             return []
         groups = [candidates]
         if step_run.step.same_rack:
             groups = [*by_rack(candidates), candidates]
         for group in groups:
-            chosen = self._place_tasks(step_run, tasks, group, now)
-            if len(chosen) == len(tasks):
-                return chosen
-            for choice in chosen:
-                choice.worker.release(choice.task)
+            placements = self._place_tasks(step_run, tasks, group, now)
+            if len(placements) == len(tasks):
+                return placements
+            for placement in placements:
+                placement.worker.release(placement.task)
         return []
 
 
 def needs_full_search(step_run: progress.StepRun, now: float) -> bool:
-    """Tell whether all workers are looked at for a step, or those that changed."""
+    """Return whether a step is tried on all workers, or only on those that changed."""
     if not step_run.step.best_effort or step_run.allowed_workers is not None:
         return True
     return now >= step_run.full_search_at
@@ -234,20 +238,21 @@
 def safest_worker(
     scores: cabc.Mapping[fleet.Worker, float | None], now: float
 ) -> fleet.Worker | None:
-    """Return the worker for a task that may crash it: where the least would be lost.
+    """Return the worker for a suspect: where a crash would do the least harm.
 
-    If it can, it goes where nothing has just begun, so that a crash tells them apart.
+    If possible it is one where nothing has just started, so that a crash can be
+    attributed.
     """
-    able = {worker: score for worker, score in scores.items() if score is not None}
+    scored = {worker: score for worker, score in scores.items() if score is not None}
 
-    def order(worker: fleet.Worker) -> tuple[bool, int, float]:
-        return not worker.no_recent_start(now), len(worker.tasks), -able[worker]
+    def risk(worker: fleet.Worker) -> tuple[bool, int, float]:
+        return not worker.no_recent_start(now), len(worker.tasks), -scored[worker]
 
-    return min(able, key=order, default=None)
+    return min(scored, key=risk, default=None)
 
 
 def defers_suspect(task: progress.Task, worker: fleet.Worker, now: float) -> bool:
-    """Tell whether a suspect waits until nothing has just begun on a worker."""
+    """Return whether a suspect waits until no start on the worker is recent."""
     if not task.suspect or task.step.gang or worker.no_recent_start(now):
         return False
     since = task.step_run.blocked_since
@@ -257,14 +262,14 @@
 def is_eligible(
     step: messages.Step, worker: fleet.Worker, service: str, now: float
 ) -> bool:
-    """Tell whether tasks of the step may run on the worker at all."""
+    """Return whether tasks of the step may run on the worker at all."""
     if worker.entry.service != service or not worker.usable(now):
         return False
     return not step.label or step.label in worker.entry.labels
 
 
 def fits(step: messages.Step, worker: fleet.Worker) -> bool:
-    """Tell whether a task of the step fits into what the worker has free."""
+    """Return whether a task of the step fits into the worker's free resources."""
     if not fleet.reserved_resources(step).fits_in(worker.free):
         return False
     if step.best_effort:
@@ -273,18 +278,19 @@
 
 
 def score_of(step: messages.Step, worker: fleet.Worker) -> float:
-    """Return how well a task of the step goes to the worker; more is better."""
-    near = DATA_LOCALITY_WEIGHT * bool(
+    """Return how well the worker suits a task of the step; higher is better."""
+    locality = DATA_LOCALITY_WEIGHT * bool(
         step.data_rack and step.data_rack in worker.entry.labels
     )
-    critical = bool(worker.latency_critical_count)
+    has_critical = bool(worker.latency_critical_count)
     if step.best_effort:
-        return near + worker.idle_cpus - COLOCATION_WEIGHT * critical
+        return locality + worker.idle_cpus - COLOCATION_WEIGHT * has_critical
     if step.continuous:
-        # The fullest of those that have such tasks already, so that few workers do.
-        disturbed = BEST_EFFORT_PENALTY * worker.best_effort_count
-        return near + COLOCATION_WEIGHT * critical - worker.free.cpus - disturbed
-    return near + worker.idle_cpus + LATENCY_CRITICAL_WEIGHT * critical
+        # Prefers the fullest worker among those with such tasks, to keep them on few
+        # workers.
+        penalty = BEST_EFFORT_PENALTY * worker.best_effort_count
+        return locality + COLOCATION_WEIGHT * has_critical - worker.free.cpus - penalty
+    return locality + worker.idle_cpus + LATENCY_CRITICAL_WEIGHT * has_critical
 
 
 def by_rack(workers: list[fleet.Worker]) -> list[list[fleet.Worker]]:
--- a/src/mangosail/scheduler/preemption.py
+++ b/src/mangosail/scheduler/preemption.py
@@ -1,8 +1,8 @@
-"""Making room for short tasks that find none, at the cost of continuous work.
+"""Preemption of long-running tasks for short tasks that find no room.
 
-Continuous tasks take all room there is, for minutes. A short task of no lower
-priority would then wait for one of them to be cancelled. Stopping one costs its
-users a few seconds of service; the short task ends within about as long.
+Continuous tasks take all room there is, for minutes. A short task of no lower priority
+would have to wait until one of them is cancelled. Stopping one costs its users a few
+seconds of service; the short task ends within about the same time.
 """
 
 import dataclasses
@@ -10,19 +10,20 @@
 from mangosail import resources
 from mangosail.scheduler import fleet, placing, progress
 
-#: Seconds that a short task waits for room until others are stopped for it: longer
-#: than most tasks beside it have left to run.
+#: Seconds that a short task waits for room before others are preempted: longer than
+#: most tasks beside it have left to run.
 MIN_WAIT_S = 0.15
-#: Seconds for which a task that was stopped stays away; short tasks come in
-#: bursts, and it would be stopped again.
+#: Seconds before a preempted task is placed again; short tasks come in bursts, and it
+#: would be preempted again.
 PREEMPTED_BACKOFF_S = 2.0
-#: Victims stopped for one step at a time; others follow with the next placing.
+#: Maximum number of tasks preempted for one step at a time; more may follow in the next
+#: round.
 MAX_VICTIMS = 12
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Victim:
-    """A task to stop, and where it runs."""
+    """A task to preempt, and its worker."""
 
     task: progress.Task
     worker: fleet.Worker
@@ -35,32 +36,32 @@
     workers: fleet.Fleet,
     now: float,
 ) -> list[Victim]:
-    """Return tasks whose stop makes room for `missing` tasks of the step."""
+    """Return tasks whose preemption makes room for `missing` tasks of the step."""
     step = step_run.step
     if step.continuous or step.best_effort or step.gang:
         return []
-    found: list[Victim] = []
+    victims: list[Victim] = []
     candidates = [
         worker for worker in workers if placing.is_eligible(step, worker, service, now)
     ]
     candidates.sort(key=lambda worker: worker.free.cpus, reverse=True)
     for worker in candidates:
         free = worker.free + resources_being_freed(worker)
-        while missing > 0 and len(found) < MAX_VICTIMS:
+        while missing > 0 and len(victims) < MAX_VICTIMS:
             if step.need.fits_in(free):
                 free -= step.need
                 missing -= 1
                 continue
-            victim = smallest_victim(step_run, worker, free, found)
+            victim = smallest_victim(step_run, worker, free, victims)
             if victim is None:
                 break
-            found.append(Victim(victim, worker))
+            victims.append(Victim(victim, worker))
             free += fleet.reserved_resources(victim.step)
-    return found
+    return victims
 
 
 def resources_being_freed(worker: fleet.Worker) -> resources.Resources:
-    """Return the room that tasks which are being stopped will leave."""
+    """Return the resources that tasks being stopped will release."""
     total = resources.Resources()
     for task in worker.tasks.values():
         if task.phase is progress.Phase.STOPPING:
@@ -74,25 +75,25 @@
     free: resources.Resources,
     chosen: list[Victim],
 ) -> progress.Task | None:
-    """Return the smallest task whose stop lets one of the step's fit, or None."""
-    taken = {victim.task.name for victim in chosen}
-    able = [
+    """Return the smallest task whose preemption lets one of the step's tasks fit."""
+    chosen_names = {victim.task.name for victim in chosen}
+    candidates = [
         task
         for task in worker.tasks.values()
         if task.phase is progress.Phase.RUNNING
-        and task.name not in taken
+        and task.name not in chosen_names
         and is_preemptible(task, step_run)
         and step_run.step.need.fits_in(free + fleet.reserved_resources(task.step))
     ]
-    return min(able, key=lambda task: task.step.need.cpus, default=None)
+    return min(candidates, key=lambda task: task.step.need.cpus, default=None)
 
 
 def is_preemptible(task: progress.Task, step_run: progress.StepRun) -> bool:
-    """Tell whether a task may be stopped for the sake of a step."""
+    """Return whether a task may be preempted for a step."""
     step = task.step
     priority = step_run.job.job.priority
     if step.may_miss or step.gang:
-        # How many of them may be away is for the operator to say.
+        # How many of these may be down at a time is the operator's decision.
         return False
     if step.continuous:
         return task.job.job.priority >= priority
--- a/src/mangosail/scheduler/ranking.py
+++ b/src/mangosail/scheduler/ranking.py
@@ -1,7 +1,7 @@
-"""Workers ranked by score, for tasks that are placed one after the other.
+"""Workers ranked by score, for placing tasks one after the other.
 
-Only the worker that was chosen gets another score, so the best one is not searched for
-among all workers each time::
+Only the chosen worker gets another score, so a heap replaces the search through all
+workers for each task::
 
     ranked = Ranking({first: 3.0, second: 5.0, third: None})
     ranked.best()          # second
@@ -14,34 +14,35 @@
 
 from mangosail.scheduler import fleet
 
-#: Cores that it costs a task to go where its last run failed.
+#: Penalty in cores for the worker on which a task's last run failed.
 AVOID_PENALTY = 5000.0
 
 
 class Ranking:
-    """The workers that fit, which have a score, by that; of equals the first given."""
+    """Workers that fit, by score; of equal ones the one given first is best."""
 
     def __init__(self, scores: cabc.Mapping[fleet.Worker, float | None]) -> None:
         self.scores = dict(scores)
         self.workers = list(scores)
-        self.positions = {worker: place for place, worker in enumerate(self.workers)}
-        #: Negative score and place of each worker that fits, and of some by scores
-        #: that they no longer have.
+        self.positions = {
+            worker: position for position, worker in enumerate(self.workers)
+        }
+        #: Negative score and position of each worker that fits, and outdated entries.
         self.heap = [
-            (-score, place)
-            for place, score in enumerate(scores.values())
+            (-score, position)
+            for position, score in enumerate(scores.values())
             if score is not None
         ]
         heapq.heapify(self.heap)
 
     def rank(self, worker: fleet.Worker, score: float | None) -> None:
-        """Give a worker another score; None if it does not fit any more."""
+        """Set the score of a worker; None if it no longer fits."""
         self.scores[worker] = score
         if score is not None:
             heapq.heappush(self.heap, (-score, self.positions[worker]))
 
     def best(self, avoid: str = "") -> fleet.Worker | None:
-        """Return the worker with the highest score, that to `avoid` only if alone."""
+        """Return the worker with the highest score, with a penalty for `avoid`."""
         first = self._top()
         if first is None or first.name != avoid:
             return first
@@ -54,17 +55,17 @@
         return min((first, second), key=lambda worker: self._sort_key(worker, avoid))
 
     def _sort_key(self, worker: fleet.Worker, avoid: str) -> tuple[float, int]:
-        """Return what is lower for the better of two workers."""
+        """Return a sort key that is lower for the better of two workers."""
         score = self.scores[worker] or 0.0
         if worker.name == avoid:
             score -= AVOID_PENALTY
         return -score, self.positions[worker]
 
     def _top(self) -> fleet.Worker | None:
-        """Return the worker with the highest score; drop scores it no longer has."""
+        """Return the worker with the highest score; drop outdated entries."""
         while self.heap:
-            negative, place = self.heap[0]
-            worker = self.workers[place]
+            negative, position = self.heap[0]
+            worker = self.workers[position]
             if self.scores[worker] == -negative:
                 return worker
             heapq.heappop(self.heap)
--- a/src/mangosail/scheduler/reports.py
+++ b/src/mangosail/scheduler/reports.py
@@ -1,4 +1,4 @@
-"""What a worker's look says of the tasks that may run there."""
+"""Processing of worker reports: updates the tasks that may run there."""
 
 import collections.abc as cabc
 
@@ -19,20 +19,20 @@
 
 log = logbook.Logger("reports")
 
-#: Reasons for which a worker is lost that prove that its life is over.
+#: Reasons for the loss of a worker that prove that its incarnation has ended.
 CRASH_REASONS = frozenset({"replaced", "restarted"})
 
 
 class ReportProcessor:
-    """Takes in what workers list, and changes the tasks accordingly."""
+    """Processes the reports of workers, and updates the tasks accordingly."""
 
     def __init__(
         self,
         find_task: cabc.Callable[[str], progress.Task | None],
         on_change: cabc.Callable[[progress.JobProgress], None],
-        give_up: cabc.Callable[[progress.JobProgress], None],
+        fail_job: cabc.Callable[[progress.JobProgress], None],
         workers: fleet.Fleet,
-        sender: orders.Orders,
+        worker_orders: orders.Orders,
         worker_health: health.Health,
         crash_tracker: crashes.CrashTracker,
         estimator: estimates.DurationEstimator,
@@ -42,9 +42,9 @@
     ) -> None:
         self.find_task = find_task
         self.on_change = on_change
-        self.give_up = give_up
+        self.fail_job = fail_job
         self.workers = workers
-        self.orders = sender
+        self.orders = worker_orders
         self.health = worker_health
         self.crash_tracker = crash_tracker
         self.estimator = estimator
@@ -53,38 +53,38 @@
         self.counters = counters
 
     def process(
-        self, worker: fleet.Worker, look: messages.WorkerReport, sent_at: float
+        self, worker: fleet.Worker, report: messages.WorkerReport, sent_at: float
     ) -> None:
-        """Take in a look that was asked for at the elapsed time `sent_at`."""
-        first = not worker.contacted
-        worker.record_contact(look.clock, self.clock.elapsed())
+        """Process a report that was requested at the elapsed time `sent_at`."""
+        first_contact = not worker.contacted
+        worker.record_contact(report.clock, self.clock.elapsed())
         worker.contacted = True
         self.crash_tracker.record_reachable(worker)
-        for end in look.ended:
+        for end in report.ended:
             if end.number > worker.last_end_seen:
                 worker.last_end_seen = end.number
                 self._handle_end(worker, end)
         listed = {}
-        for row in look.running:
+        for row in report.running:
             listed[row.task] = row
             self._handle_running(worker, row)
         for task in list(worker.tasks.values()):
             if task.name not in listed:
-                self._handle_not_listed(worker, task, sent_at, first)
+                self._handle_not_listed(worker, task, sent_at, first_contact)
 
     def handle_worker_lost(
-        self, worker: fleet.Worker, why: str, successor: fleet.Worker | None = None
+        self, worker: fleet.Worker, reason: str, successor: fleet.Worker | None = None
     ) -> None:
-        """Take note that all runs of the worker are over.
+        """Record that all runs on the worker have ended.
 
-        `later` is its next life under the same name, if it has one. An order that the
-        earlier life has not shown to have carried out may reach that one, also seconds
-        from now.
+        `successor` is its next incarnation under the same name, if there is one. An
+        order that the earlier incarnation has not shown to have carried out may still
+        reach the successor, even seconds from now.
         """
         now = self.clock.elapsed()
-        self.counters.count(f"workers.lost.{why}")
+        self.counters.count(f"workers.lost.{reason}")
         log.warning(
-            "worker lost", worker=worker.name, reason=why, tasks=len(worker.tasks),
+            "worker lost", worker=worker.name, reason=reason, tasks=len(worker.tasks),
             draining=worker.entry.draining,
             silent=round(now - worker.last_contact_at, 3),
         )  # fmt: skip
@@ -93,7 +93,7 @@
             self._log_lost_run(worker, task)
         if worker.removed:
             suspects = self.crash_tracker.record_incarnation_end(
-                worker, crashed=why in CRASH_REASONS
+                worker, crashed=reason in CRASH_REASONS
             )
         else:
             self.crash_tracker.record_unreachable(worker)
@@ -104,31 +104,32 @@
             else:
                 self.orders.transfer(task, worker, successor)
         for suspect in suspects:
-            self._handle_suspect(worker, suspect, why)
+            self._handle_suspect(worker, suspect, reason)
 
     def _handle_suspect(
-        self, worker: fleet.Worker, suspect: crashes.Suspect, why: str
+        self, worker: fleet.Worker, suspect: crashes.Suspect, reason: str
     ) -> None:
-        """Give a task's job up if the task has crashed enough workers."""
+        """Record a suspicion, and fail the job if the task crashed enough workers."""
         task = suspect.task
         if task.job.ended:
             return
-        self.counters.count(f"reports.suspected.{why}")
+        self.counters.count(f"reports.suspected.{reason}")
         log.info(
-            "suspected", task=task.name, run=task.run, worker=worker.name, reason=why,
-            late=suspect.started_recently, crashes=task.crashes,
-            clear=task.certain_crashes,
+            "task suspected of crash", task=task.name, run=task.run,
+            worker=worker.name, reason=reason, late=suspect.started_recently,
+            crashes=task.crashes, clear=task.certain_crashes,
         )  # fmt: skip
         if crashes.exceeds_crash_limit(task):
-            self.give_up(task.job)
+            self.fail_job(task.job)
         else:
             self.on_change(task.job)
 
     def _log_lost_run(self, worker: fleet.Worker, task: progress.Task) -> None:
         """Log what is known of a run that ended with its worker.
 
-        `age` is how long before the worker was last heard its start was sent; less than
-        nothing if nothing was heard since, and None if another leader sent it.
+        `age` is the time from sending its start to the last contact with the worker:
+        negative if there was no contact since, and None if another leader sent the
+        start.
         """
         age = None
         if task.start_sent_at is not None:
@@ -149,12 +150,12 @@
         if task is None:
             return
         task.job.started = True
-        present = task.worker == worker.name and task.run == end.run and task.live
+        is_current = task.worker == worker.name and task.run == end.run and task.live
         if crashes.ended_by_itself(end.outcome):
             crashes.reset_crash_counts(task)
         if end.outcome is messages.Outcome.DONE and not task.step.continuous:
-            self._handle_done(worker, task, end, present)
-        elif present:
+            self._handle_done(worker, task, end, is_current)
+        elif is_current:
             self._handle_failed_or_stopped(worker, task, end)
 
     def _handle_done(
@@ -162,22 +163,25 @@
         worker: fleet.Worker,
         task: progress.Task,
         end: messages.RunEnd,
-        present: bool,
+        is_current: bool,
     ) -> None:
         now = self.clock.elapsed()
         self.health.record(worker, task.job.job.job_id, True, now)
         if task.phase is progress.Phase.DONE:
             return
-        if present:
+        if is_current:
             worker.release(task)
             if task.from_beginning and not task.throttled_at:
                 self.estimator.record(task, now - task.started_at)
         else:
-            # An earlier run finished after all; the present one must not, and
-            # the next one must not begin.
+            # An earlier run was completed after all; the current run must not be, and
+            # the next one must not start.
             self.counters.count("reports.done_late")
             log.warning(
-                "earlier run done", task=task.name, run=end.run, present=task.run
+                "superseded run completed",
+                task=task.name,
+                run=end.run,
+                present=task.run,
             )
             if task.live:
                 self._discard_run(task)
@@ -187,7 +191,7 @@
         self.on_change(task.job)
 
     def _finish_gang(self, task: progress.Task) -> None:
-        """Take the end of one member of a gang for that of all."""
+        """Mark all members of a gang as done, since one of them is."""
         for other in task.step_run.tasks:
             holder = self.worker_of(other)
             if holder is not None:
@@ -202,7 +206,7 @@
             self.orders.stop_unknown(holder, row)
 
     def worker_of(self, task: progress.Task) -> fleet.Worker | None:
-        """Return the worker on which the task's run may be."""
+        """Return the worker on which the task's run may exist."""
         return self.workers.get(task.worker)
 
     def _handle_failed_or_stopped(
@@ -218,23 +222,23 @@
         now = self.clock.elapsed()
         task.failures += 1
         task.avoided_worker = worker.name
-        # A start from the checkpoint of a failed run may fail the same way; the
-        # platform lets it, and the work saved is worth more.
+        # A restart from the checkpoint of a failed run may fail the same way. The
+        # platform permits it, and the work saved is worth more.
         if self.health.record(worker, task.job.job.job_id, False, now):
             self.counters.count("workers.set_aside")
             log.warning(
                 "worker set aside", worker=worker.name, until=worker.avoid_until
             )
 
-    def _requeue(self, worker: fleet.Worker, task: progress.Task, why: str) -> None:
-        """Let a task whose run is over wait for its next one."""
+    def _requeue(self, worker: fleet.Worker, task: progress.Task, reason: str) -> None:
+        """Requeue a task whose run has ended."""
         worker.release(task)
         if task.worker != worker.name or not task.live:
             return
         task.worker = ""
         task.phase = progress.Phase.WAITING
         task.stop_confirmed_at = None
-        log.info("waiting again", task=task.name, run=task.run, reason=why)
+        log.info("waiting again", task=task.name, run=task.run, reason=reason)
         self.on_change(task.job)
 
     def _handle_running(self, worker: fleet.Worker, row: messages.RunningTask) -> None:
@@ -247,9 +251,9 @@
         task.listed = True
         if task.phase in (progress.Phase.STARTING, progress.Phase.DOUBTFUL):
             if task.phase is progress.Phase.DOUBTFUL and task.step.best_effort:
-                # An earlier leader may have slowed it down; looks don't say. It has
-                # stood still from now on at most: taken for stuck since ever, all such
-                # tasks were stopped at each change of leader.
+                # An earlier leader may have throttled it, which reports don't show. Its
+                # pause counts from now: when it counted from the beginning, all such
+                # tasks were taken for stuck and stopped at each change of leader.
                 task.speed_limit = 0
                 task.throttled_at = now
             task.phase = progress.Phase.RUNNING
@@ -268,14 +272,18 @@
             self.orders.stop(task, worker, "cancelled")
 
     def _handle_not_listed(
-        self, worker: fleet.Worker, task: progress.Task, sent_at: float, first: bool
+        self,
+        worker: fleet.Worker,
+        task: progress.Task,
+        sent_at: float,
+        first_contact: bool,
     ) -> None:
-        """Judge a run that the worker lists neither as running nor as ended."""
+        """Handle a run that the worker lists neither as running nor as ended."""
         phase = task.phase
         if phase is progress.Phase.DOUBTFUL:
-            if first and task.start_sent_at is None:
-                # The worker has seen our token now: what an earlier leader sent
-                # is refused if it comes yet.
+            if first_contact and task.start_sent_at is None:
+                # The worker has seen this leader's token by now, and rejects a start of
+                # an earlier leader that is still to arrive.
                 suspects = self.crash_tracker.record_missing_run(worker, task)
                 self._requeue(worker, task, "never_began")
                 for suspect in suspects:
--- a/src/mangosail/scheduler/rounds.py
+++ b/src/mangosail/scheduler/rounds.py
@@ -1,6 +1,6 @@
-"""Rounds of placing: what waits, in order, onto workers that have room.
+"""Placement rounds: assigns waiting tasks, in order, to workers with room.
 
-A round looks at all steps whose turn has come, chooses workers, records the runs, and
+A round goes through all steps that are ready, chooses workers, records the runs, and
 sends the starts once the record is durable.
 """
 
@@ -32,33 +32,34 @@
 
 log = logbook.Logger("rounds")
 
-#: Seconds between placements, so that what comes together is placed together.
+#: Seconds between rounds, so that tasks that arrive together are placed together.
 ROUND_INTERVAL_S = 0.004
-#: Best-effort steps for which one round looks at all workers in vain. With 80 steps of
-#: different sizes waiting for 246 workers a round took 73 ms without this bound and
-#: 27 ms with it, on a busy machine; starts wait for it.
+#: Best-effort steps for which one round searches all workers without success. With 80
+#: steps of different sizes waiting for 246 workers a round took 73 ms without this
+#: bound and 27 ms with it, on a busy machine; starts are sent after the round.
 MAX_FAILED_SEARCHES = 6
-#: Pauses between placements, in multiples of what the last one took, and the longest.
+#: Pauses between rounds, as a multiple of the duration of the last one, and their
+#: maximum.
 PAUSE_RATIO = 3
 MAX_PAUSE_S = PAUSE_RATIO * yielding.YIELD_INTERVAL_S
-#: Pauses within a placement, in multiples of the work since the last one.
+#: Pauses within a round, as a multiple of the work since the last one.
 YIELD_PAUSE_RATIO = 2
-#: Seconds after which placing is tried without a change, for tasks that become
-#: due and workers that are used again.
+#: Seconds after which a round runs without a change, for tasks that become due and
+#: workers that become usable again.
 IDLE_INTERVAL_S = 0.1
-#: Starts that are on their way at a time, at most.
+#: Maximum number of concurrent starts.
 MAX_CONCURRENT_STARTS = 256
-#: Seconds between looks for tasks that stand still beside latency-critical ones.
+#: Seconds between searches for tasks that are paused beside latency-critical ones.
 MOVE_INTERVAL_S = 0.25
-#: Seconds that a round looks for such tasks at most; no lease is renewed meanwhile.
+#: Maximum seconds that a round spends on this search; no lease is renewed meanwhile.
 MOVE_BUDGET_S = 0.02
-#: Seconds after which a round is logged as long: a third of the time between renewals
-#: of the lease, for which nothing else has the processor.
+#: Seconds from which a round is logged as long: a third of the time between renewals of
+#: the lease, which can't run during the work of a round.
 LONG_ROUND_S = 0.1
-#: Seconds between the lines that say how much waits.
+#: Seconds between log lines with the number of waiting tasks.
 REPORT_INTERVAL_S = 2.0
-#: Seconds after which one task of a job with nothing running is placed although it
-#: may disturb others; such a job may not stand still for 3 s.
+#: Seconds after which one task of a job with nothing running is placed even if it may
+#: disturb others; such a job may not wait for 3 s.
 STARVATION_S = 1.2
 
 
@@ -72,9 +73,9 @@
         model: interference.Model,
         estimator: estimates.DurationEstimator,
         speeds: worker_speeds.WorkerSpeeds,
-        writer: journal.Journal,
-        sender: orders.Orders,
-        advisor: advice.TicketCache,
+        job_journal: journal.Journal,
+        worker_orders: orders.Orders,
+        ticket_cache: advice.TicketCache,
         catalog: cabc.Callable[[], messages.Catalog | None],
         changed: gevent.event.Event,
         clock: clocks.Clock,
@@ -86,27 +87,27 @@
         self.speeds = speeds
         self.placer = placing.Placer(workers, model)
         self.planner = planning.Planner(workers, estimator, self._queue)
-        self.journal = writer
-        self.orders = sender
-        self.advice = advisor
+        self.journal = job_journal
+        self.orders = worker_orders
+        self.ticket_cache = ticket_cache
         self.catalog = catalog
         self.changed = changed
         self.clock = clock
         self.counters = counters
         self.starts = gevent.pool.Pool(MAX_CONCURRENT_STARTS)
-        #: Elapsed time from which tasks that stand still are looked for again, and the
-        #: workers that are still to be looked through by then.
-        self.move_at = 0.0
-        self.to_search: list[fleet.Worker] = []
+        #: Elapsed time of the next search for stuck tasks, and the workers that are
+        #: still to be searched before.
+        self.next_move_at = 0.0
+        self.workers_to_search: list[fleet.Worker] = []
         #: The configuration in force, and its queues by name.
         self.current_catalog: messages.Catalog | None = None
         self.queues: dict[str, messages.Queue] = {}
-        #: True once a planned stop has begun.
+        #: True once a planned shutdown has begun.
         self.stopping = False
         self.yielder = yielding.CooperativeYielder(clock, YIELD_PAUSE_RATIO)
 
     def report_forever(self) -> None:
-        """Log how much waits and how much room there is, now and again."""
+        """Log the waiting tasks and the free resources periodically."""
         while True:
             self.clock.sleep(REPORT_INTERVAL_S)
             now = self.clock.elapsed()
@@ -140,7 +141,7 @@
             )
 
     def run(self) -> None:
-        """Place whenever something has changed, until the planned stop."""
+        """Place whenever something has changed, until the planned shutdown."""
         while True:
             self.changed.wait(IDLE_INTERVAL_S)
             self.changed.clear()
@@ -151,18 +152,20 @@
             except Exception:
                 # A fault with one job must not stop the others for good.
                 self.counters.count("rounds.place_failed")
-                log.exception("place failed")
-            # A third of the processor at most goes into placing; what was placed has to
-            # be written and sent. A long round has paused in between.
+                log.exception("placement round failed")
+            # Placement takes a third of the processor at most, as its results have to
+            # be written and sent. A long round has already paused in between.
             took = self.yielder.total_worked()
             self.counters.time("rounds.place", took)
             if took >= LONG_ROUND_S:
-                log.warning("long round", seconds=round(took, 3), jobs=len(self.jobs))
+                log.warning(
+                    "slow placement round", seconds=round(took, 3), jobs=len(self.jobs)
+                )
             pause = min(PAUSE_RATIO * took, MAX_PAUSE_S)
             self.clock.sleep(max(ROUND_INTERVAL_S, pause))
 
     def place(self) -> None:
-        """Place what waits, in order, as far as there is room."""
+        """Place waiting tasks in order, as far as there is room."""
         self.yielder = yielding.CooperativeYielder(self.clock, YIELD_PAUSE_RATIO)
         now = self.clock.elapsed()
         wall = self.clock.wall()
@@ -173,8 +176,8 @@
         self._update_slow_workers(now)
         ready.sort(key=self.planner.sort_key)
         self._move_stuck(now)
-        full: list[tuple[str, progress.StepRun]] = []
-        failures = 0
+        unplaced: list[tuple[str, progress.StepRun]] = []
+        failed_searches = 0
         for step_run in ready:
             self.yielder.yield_if_due()
             if self.stopping:
@@ -187,34 +190,34 @@
             if not tasks:
                 continue
             best_effort = step_run.step.best_effort
-            costly = best_effort and placing.needs_full_search(step_run, now)
+            searches_all = best_effort and placing.needs_full_search(step_run, now)
             if (
-                costly
-                and failures >= MAX_FAILED_SEARCHES
+                searches_all
+                and failed_searches >= MAX_FAILED_SEARCHES
                 and not self._is_overdue(step_run, now)
             ):
-                # It waits for room like those that were tried. Where many wait, those
-                # in front use up the bound in every round: when this was not noted, a
-                # job at the end never starved, and never ran.
+                # It waits for room like the steps that were tried. If many wait, those
+                # in front use up the bound in every round: when this wait was not
+                # recorded, a job at the end never counted as starving, and never ran.
                 blocked_since(step_run, now)
                 continue
-            placed = self._place_step(step_run, tasks, full, now)
-            failures += costly and not placed
+            placed = self._place_step(step_run, tasks, unplaced, now)
+            failed_searches += searches_all and not placed
 
     def _move_stuck(self, now: float) -> None:
-        """Stop tasks that stand still where other workers have room for them.
+        """Stop stuck tasks where other workers have room for them.
 
-        All workers in one round kept the processor for so long after a change of leader
-        that the new one lost its lease.
+        Searching all workers in one round kept the processor for so long after a change
+        of leader that the new one lost its lease.
         """
-        if not self.to_search:
-            if now < self.move_at:
+        if not self.workers_to_search:
+            if now < self.next_move_at:
                 return
-            self.move_at = now + MOVE_INTERVAL_S
-            self.to_search = list(self.workers)
+            self.next_move_at = now + MOVE_INTERVAL_S
+            self.workers_to_search = list(self.workers)
         deadline = self.clock.elapsed() + MOVE_BUDGET_S
-        while self.to_search:
-            self._move_from(self.to_search.pop(), now)
+        while self.workers_to_search:
+            self._move_from(self.workers_to_search.pop(), now)
             if self.clock.elapsed() >= deadline:
                 return
 
@@ -233,7 +236,7 @@
         slow = worker_speeds.slow_workers(self.workers, now)
         if slow != self.placer.slow_workers:
             log.info(
-                "slow workers",
+                "slow workers changed",
                 workers=sorted(slow),
                 before=len(self.placer.slow_workers),
             )
@@ -241,7 +244,7 @@
         self.placer.slow_workers = slow
 
     def _move_off_slow_worker(self, worker: fleet.Worker, now: float) -> None:
-        """Stop what would end sooner if it went on elsewhere."""
+        """Stop tasks that would end sooner if they continued on another worker."""
         for task in list(worker.tasks.values()):
             if task.relocations >= stragglers.MAX_MOVES:
                 continue
@@ -270,96 +273,98 @@
         self,
         step_run: progress.StepRun,
         tasks: list[progress.Task],
-        full: list[tuple[str, progress.StepRun]],
+        unplaced: list[tuple[str, progress.StepRun]],
         now: float,
     ) -> bool:
-        """Place tasks of a step, and tell whether any was."""
+        """Place tasks of a step, and return whether any was placed."""
         if not self._has_advice(step_run, now):
             return False
         service = self.service_of(step_run.job.job)
         if self._is_overdue(step_run, now):
-            chosen = self.placer.place_one(step_run, tasks, service, now)
-        elif any(cannot_fit(step_run, service, seen) for seen in full):
+            placements = self.placer.place_one(step_run, tasks, service, now)
+        elif any(cannot_fit(step_run, service, failed) for failed in unplaced):
             self._preempt_for(step_run, len(tasks), service, now)
             return False
         else:
-            chosen = self.placer.place(step_run, tasks, service, now)
-        missing = len(tasks) - len(chosen)
+            placements = self.placer.place(step_run, tasks, service, now)
+        missing = len(tasks) - len(placements)
         if missing:
             self._preempt_for(step_run, missing, service, now)
-            full.append((service, step_run))
+            unplaced.append((service, step_run))
         else:
             step_run.blocked_since = None
-        chosen = keep_recordable(step_run, chosen)
-        if chosen:
-            self._start_runs(step_run, chosen)
-        return bool(chosen)
+        placements = keep_recordable(step_run, placements)
+        if placements:
+            self._start_runs(step_run, placements)
+        return bool(placements)
 
     def _is_overdue(self, step_run: progress.StepRun, now: float) -> bool:
-        """Tell whether a job must not wait any longer with nothing running."""
+        """Return whether a job with nothing running must not wait any longer."""
         return is_starving(step_run, now) and not self.planner.is_deferred(
             step_run, now
         )
 
     def _has_advice(self, step_run: progress.StepRun, now: float) -> bool:
-        """Tell whether a step may be placed, after advice if its queue needs any."""
+        """Return whether a step may be placed, with advice if its queue needs any."""
         queue = self._queue(step_run.job.job.queue)
         if queue is None or not queue.needs_advice:
             return True
-        allowed = self.advice.usable_tickets(step_run, now)
-        step_run.allowed_workers = frozenset(allowed)
-        return bool(allowed)
+        tickets = self.ticket_cache.usable_tickets(step_run, now)
+        step_run.allowed_workers = frozenset(tickets)
+        return bool(tickets)
 
     def _start_runs(
-        self, step_run: progress.StepRun, chosen: list[placing.Placement]
+        self, step_run: progress.StepRun, placements: list[placing.Placement]
     ) -> None:
-        """Record new runs of the tasks, and send their starts after that."""
+        """Record new runs of the tasks, and then send their starts."""
         job = step_run.job
         if job.state is messages.State.QUEUED:
             job.state = messages.State.RUNNING
         gang = step_run.step.gang
-        together = max(choice.task.run for choice in chosen) + 1
-        saved = next((c.task.checkpoint for c in chosen if c.task.checkpoint), "")
-        for choice in chosen:
-            task = choice.task
+        gang_run = max(placement.task.run for placement in placements) + 1
+        gang_checkpoint = next(
+            (each.task.checkpoint for each in placements if each.task.checkpoint), ""
+        )
+        for placement in placements:
+            task = placement.task
             task.phase = progress.Phase.STARTING
-            # The members of a gang share run and checkpoint.
-            task.run = together if gang else task.run + 1
-            task.checkpoint = saved if gang else task.checkpoint
+            # The members of a gang share run number and checkpoint.
+            task.run = gang_run if gang else task.run + 1
+            task.checkpoint = gang_checkpoint if gang else task.checkpoint
             task.from_beginning = not task.checkpoint
-            task.worker = choice.worker.name
+            task.worker = placement.worker.name
             task.start_sent_at = None
             task.start_confirmed = False
             task.listed = False
             task.stop_confirmed_at = None
         self.journal.record(job)
-        self.journal.when_durable(lambda: self._send(chosen))
+        self.journal.when_durable(lambda: self._send(placements))
 
     def _preempt_for(
         self, step_run: progress.StepRun, missing: int, service: str, now: float
     ) -> None:
-        """Make room for a step that has waited long enough."""
+        """Preempt other tasks for a step that has waited long enough."""
         if now < blocked_since(step_run, now) + preemption.MIN_WAIT_S:
             return
-        found = preemption.find_victims(step_run, missing, service, self.workers, now)
-        for victim in found:
+        victims = preemption.find_victims(step_run, missing, service, self.workers, now)
+        for victim in victims:
             victim.task.not_before = now + preemption.PREEMPTED_BACKOFF_S
             self.orders.stop(victim.task, victim.worker, "preempted")
 
-    def _send(self, chosen: list[placing.Placement]) -> None:
-        for choice in chosen:
-            self.starts.spawn(self.orders.start, choice.task, choice.worker)
+    def _send(self, placements: list[placing.Placement]) -> None:
+        for placement in placements:
+            self.starts.spawn(self.orders.start, placement.task, placement.worker)
 
     def service_of(self, job: messages.Job) -> str:
-        """Return the workers' pool that the configuration in force names."""
+        """Return the worker pool that the configuration in force names."""
         queue = self._queue(job.queue)
         return queue.service if queue else job.service
 
     def _queue(self, name: str) -> messages.Queue | None:
         """Return a queue of the configuration in force; None if it is gone.
 
-        Found by name in a table, which is made once a version: the configuration
-        can have hundreds of queues, and each round asks for every step.
+        The queues are indexed by name once per version: the configuration can have
+        hundreds of them, and each round asks for the queue of every step.
         """
         catalog = self.catalog()
         if catalog is not self.current_catalog:
@@ -370,14 +375,14 @@
 
 
 def blocked_since(step_run: progress.StepRun, now: float) -> float:
-    """Return since when a step has waited for room: from now on if not before."""
+    """Return since when a step has waited for room; record `now` if it has not."""
     if step_run.blocked_since is None:
         step_run.blocked_since = now
     return step_run.blocked_since
 
 
 def is_starving(step_run: progress.StepRun, now: float) -> bool:
-    """Tell whether a job has waited long with nothing running."""
+    """Return whether a job has waited long with nothing running."""
     since = step_run.blocked_since
     if since is None or now < since + STARVATION_S:
         return False
@@ -385,31 +390,31 @@
 
 
 def keep_recordable(
-    step_run: progress.StepRun, chosen: list[placing.Placement]
+    step_run: progress.StepRun, placements: list[placing.Placement]
 ) -> list[placing.Placement]:
-    """Return the choices that the job's record has room for, and undo the others."""
-    pairs = [(choice.task, choice.worker.name) for choice in chosen]
+    """Return the placements that fit into the job's record, and undo the others."""
+    pairs = [(placement.task, placement.worker.name) for placement in placements]
     count = step_run.job.count_recordable(pairs)
-    if step_run.step.gang and count < len(chosen):
+    if step_run.step.gang and count < len(placements):
         count = 0
-    for choice in chosen[count:]:
-        choice.worker.release(choice.task)
-    return chosen[:count]
+    for placement in placements[count:]:
+        placement.worker.release(placement.task)
+    return placements[:count]
 
 
 def cannot_fit(
-    step_run: progress.StepRun, service: str, seen: tuple[str, progress.StepRun]
+    step_run: progress.StepRun, service: str, failed: tuple[str, progress.StepRun]
 ) -> bool:
-    """Tell whether a step can't fit since one that is no harder to place did not."""
-    other_service, other_run = seen
+    """Return whether a step can't fit since one that is no harder to place did not."""
+    other_service, other_run = failed
     step, other = step_run.step, other_run.step
     if service != other_service or step.best_effort != other.best_effort:
         return False
     if other.gang or other.most_per_worker or other_run.allowed_workers is not None:
-        # It may have failed for what does not bind this one.
+        # It may have failed due to a constraint that this step does not have.
         return False
     if step.best_effort and step.image != other.image:
-        # Which tail latencies it would disturb depends on the image.
+        # Which tail latencies it would raise depends on the image.
         return False
     if other.label and other.label != step.label:
         return False
--- a/src/mangosail/scheduler/sizes.py
+++ b/src/mangosail/scheduler/sizes.py
@@ -1,25 +1,26 @@
-"""How large a job's record can get, and which jobs can be kept at all.
+"""Size of job records, and the limits that it sets to jobs.
 
-A record is one row, and a row has a bound. Tasks that are done take a bit each. Those
-that have begun take a row each and the names of their workers, so a job begins no more
-of them at a time than its record has room for. What has to run together must fit.
+A record is one row, and the size of a row is limited. A completed task takes one bit. A
+started task takes an entry and the name of its worker, so a job starts only as many
+tasks at a time as its record has room for. Tasks that have to run together must fit
+together.
 """
 
 from mangosail import codec
 from mangosail.platform import table
 from mangosail.scheduler import messages
 
-#: Bytes of a record beside its rows and names.
+#: Bytes of a record without its task entries and worker names.
 FRAME_BYTES = 100
-#: Bytes of a task's row, with a checkpoint of 24 characters; longer ones are left out
-#: of a record that has no room for them.
+#: Bytes of a task's entry with a checkpoint of 24 characters; longer checkpoints are
+#: left out of a record that has no room for them.
 TASK_BYTES = 64
-#: Bytes of a worker's name with its quotes and comma: the longest that a worker can
-#: have, and what is reckoned with before the workers are known.
+#: Bytes of a worker's name with its quotes and comma: the maximum, and the value
+#: assumed before the workers are known.
 NAME_OVERHEAD_BYTES = 3
 MAX_NAME_BYTES = 200 + NAME_OVERHEAD_BYTES
 TYPICAL_NAME_BYTES = 40 + NAME_OVERHEAD_BYTES
-#: Bytes that are left so that one task can begin, and one that waits again go on.
+#: Bytes kept free so that one task can start, and one that waits again can continue.
 MIN_SPARE_BYTES = TASK_BYTES + 2 * MAX_NAME_BYTES
 
 
@@ -29,7 +30,7 @@
 
 
 def done_bytes(job: messages.Job) -> int:
-    """Return how many bytes say that all tasks are done."""
+    """Return the bytes that it takes to record all tasks as done."""
     return sum(
         # Like `[0,0,"fff"],`.
         len(f'[{occurrence},{number},""],') + -(-step.count // 4)
@@ -40,24 +41,24 @@
 
 def concurrent_tasks(job: messages.Job) -> int:
     """Return how many of a job's tasks have to run at the same time."""
-    lasting = sum(step.count for step in job.steps if step.continuous)
+    continuous = sum(step.count for step in job.steps if step.continuous)
     gangs = [step.count for step in job.steps if step.gang and not step.continuous]
-    return lasting * job.occurrences + max(gangs, default=0)
+    return continuous * job.occurrences + max(gangs, default=0)
 
 
 def rejection_reason(job: messages.Job) -> str:
-    """Return why a job can't be kept; empty if it can.
+    """Return why a job can't be stored; empty if it can.
 
-    Accepted, it would never be completed; or the store would refuse it, and its
-    caller come back for ever as if the store were away.
+    If it were accepted it would never be completed, or the store would reject its
+    record, and its caller would retry forever as if the store were unavailable.
     """
     size = len(codec.to_json(job).encode())
     if size > table.MOST_VALUE:
         return f"steps: {size} bytes to keep, at most {table.MOST_VALUE}"
-    left = spare_bytes(job) - MIN_SPARE_BYTES
-    if left < 0:
-        return "steps, repeat_count: too many to keep what is done of them"
-    count, most = concurrent_tasks(job), left // (TASK_BYTES + TYPICAL_NAME_BYTES)
-    if count > most:
-        return f"steps: {count} tasks that run together, at most {most}"
+    space = spare_bytes(job) - MIN_SPARE_BYTES
+    if space < 0:
+        return "steps, repeat_count: too many to record which are done"
+    count, limit = concurrent_tasks(job), space // (TASK_BYTES + TYPICAL_NAME_BYTES)
+    if count > limit:
+        return f"steps: {count} tasks that have to run together, at most {limit}"
     return ""
--- a/src/mangosail/scheduler/stragglers.py
+++ b/src/mangosail/scheduler/stragglers.py
@@ -1,24 +1,24 @@
-"""Tasks that stand still, which go on elsewhere.
+"""Detection of stalled tasks, which are moved to other workers.
 
-A worker can let its tasks stand still while it answers every call. What tells is the
-progress that it lists. A single task may only be waiting for processor time; when
-nothing on a worker moves, the worker is at fault.
+The tasks on a worker can stall while it answers every call; only the progress that it
+lists shows this. A single task may just be waiting for processor time; if no task on a
+worker makes progress, the worker is at fault.
 """
 
 import dataclasses
 
 from mangosail.scheduler import fleet, progress, throttling
 
-#: Seconds without any progress after which a task counts as stalled. Half-second
-#: figures and looks are over by then.
+#: Seconds without progress after which a task counts as stalled: longer than the
+#: half-second interval of progress figures and a poll.
 STALL_TIMEOUT_S = 1.3
-#: Percents of an estimate that a task may take for one percent of progress.
+#: Share of its estimated duration that a task may take for one percent of progress.
 STALL_ESTIMATE_SHARE = 0.05
-#: Seconds that a task must have run until its speed is judged.
+#: Seconds that a task must have run before its speed is assessed.
 MIN_AGE_S = 0.5
-#: Seconds for which nothing is placed on a worker that tasks were moved from.
+#: Seconds for which a worker gets no tasks after tasks were moved off it.
 QUARANTINE_S = 2.5
-#: Moves of one task at most; then it stays wherever it is.
+#: Maximum number of moves of a task; then it stays where it is.
 MAX_MOVES = 2
 
 
@@ -31,16 +31,16 @@
 
 
 def find_stragglers(worker: fleet.Worker, now: float) -> list[Straggler]:
-    """Return the tasks on a worker that should go on elsewhere."""
-    judged = [task for task in worker.tasks.values() if is_movable(task, now)]
-    stalled = [task for task in judged if is_stalled(task, now)]
-    if len(stalled) < len(judged):
+    """Return the tasks on a worker that should be moved to another one."""
+    movable = [task for task in worker.tasks.values() if is_movable(task, now)]
+    stalled = [task for task in movable if is_stalled(task, now)]
+    if len(stalled) < len(movable):
         return []
     return [Straggler(task, worker) for task in stalled]
 
 
 def is_movable(task: progress.Task, now: float) -> bool:
-    """Tell whether the speed of a task can be judged, and the task be moved."""
+    """Return whether the speed of a task can be assessed, and the task be moved."""
     step = task.step
     return (
         task.phase is progress.Phase.RUNNING
@@ -53,7 +53,7 @@
 
 
 def is_stalled(task: progress.Task, now: float) -> bool:
-    """Tell whether a task has not moved for long."""
-    term = max(STALL_TIMEOUT_S, task.step.estimate * STALL_ESTIMATE_SHARE)
+    """Return whether a task has made no progress for too long."""
+    timeout = max(STALL_TIMEOUT_S, task.step.estimate * STALL_ESTIMATE_SHARE)
     since = max(task.progressed_at, task.throttled_at)
-    return now - since >= term
+    return now - since >= timeout
--- a/src/mangosail/scheduler/sweeping.py
+++ b/src/mangosail/scheduler/sweeping.py
@@ -1,8 +1,8 @@
-"""Clearing away what the store keeps of jobs that are over.
+"""Removal of the stored rows of jobs that have ended.
 
-A job's row stays for as long as its state can be asked for, so that a repeated
-hand-in is known; its text goes as soon as the job is over. All of it happens in the
-background and may be left undone: nothing rests on it but the size of the store.
+The row of a job is kept for as long as its state can be queried, so that a repeated
+submission is recognized; its text is cleared as soon as the job has ended. This runs in
+the background and may be left undone: only the size of the store depends on it.
 """
 
 import collections.abc as cabc
@@ -20,12 +20,12 @@
 
 #: Seconds between sweeps.
 SWEEP_INTERVAL_S = 1.5
-#: Rows changed by one transaction at most; the platform takes 100.
+#: Maximum number of rows changed by one transaction; the platform accepts 100.
 MAX_ROWS = 80
 
 
 class Sweeper:
-    """Clears rows of jobs that are over; for the leader."""
+    """Clears rows of ended jobs; runs on the leader."""
 
     def __init__(
         self,
@@ -35,37 +35,37 @@
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
-        #: Told of each job of which nothing is kept any more.
+        #: Called with each job of which nothing is stored any more.
         self.on_dropped = on_dropped
         self.clock = clock
         self.counters = counters
-        #: Keys of jobs' rows whose text is not needed any more.
+        #: Keys of job rows whose text is no longer needed.
         self.ended: list[str] = []
         #: Wall times from which rows may be dropped, with their keys.
         self.due: list[tuple[float, str]] = []
-        #: Writes that failed, for the next sweep.
+        #: Writes that failed, to be retried by the next sweep.
         self.failed: list[table.Write] = []
 
     def job_ended(self, job_key: str, drop_at: float) -> None:
-        """Clear a job's row soon, and drop all that is kept of it after `drop_at`."""
+        """Clear a job's row soon, and drop all rows of the job after `drop_at`."""
         self.ended.append(job_key)
         self.schedule_drop(job_key, drop_at)
 
     def schedule_drop(self, job_key: str, drop_at: float) -> None:
-        """Drop all that is kept of a job after the wall time `drop_at`."""
+        """Drop all rows of a job after the wall time `drop_at`."""
         heapq.heappush(self.due, (drop_at, job_key))
 
     def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep periodically, without end."""
         while True:
             self.clock.sleep(SWEEP_INTERVAL_S)
             self.sweep()
 
     def sweep(self) -> None:
-        """Clear and drop what is due; what fails is left for the next sweep."""
-        over, self.ended = self.ended, []
+        """Clear and drop what is due; failed writes are left for the next sweep."""
+        ended, self.ended = self.ended, []
         writes, self.failed = self.failed, []
-        writes += [table.Write(key, keys.ENDED_JOB_TEXT) for key in over]
+        writes += [table.Write(key, keys.ENDED_JOB_TEXT) for key in ended]
         while self.due and self.due[0][0] <= self.clock.wall():
             _, key = heapq.heappop(self.due)
             job_id = keys.job_id(key)
@@ -84,7 +84,7 @@
 
 
 def by_shard(writes: cabc.Iterable[table.Write]) -> list[list[table.Write]]:
-    """Return the writes in groups that one transaction can take each."""
+    """Return the writes in groups that each fit into one transaction."""
     groups: dict[str, list[table.Write]] = {}
     for write in writes:
         groups.setdefault(keys.shard_of(write.key), []).append(write)
--- a/src/mangosail/scheduler/worker_limit.py
+++ b/src/mangosail/scheduler/worker_limit.py
@@ -1,13 +1,14 @@
-"""Which of the listed workers a leader attends to, where it can't attend to all.
+"""Selection of the workers that a leader polls if it can't poll all of them.
 
-A look at each worker in each second, with its connections, is the largest duty of a
-leader and grows with the fleet. One that took on 3,000 workers renewed its lease too
-late and lost it to another, which took on as many: leaders changed each two seconds,
-leases of workers ran out, and what was accepted ran nowhere. So a leader takes on
-what it can carry, and the others get nothing until there is room for them::
+Polling each worker every second, with the connections that this takes, is the largest
+duty of a leader and grows with the fleet. A leader that polled 3,000 workers renewed
+its lease too late and lost it to another instance, which polled as many: the leader
+changed every two seconds, leases of workers expired, and accepted jobs did not run. So
+a leader polls as many workers as it can handle, and the others get no tasks until there
+is capacity for them::
 
-    most = reach.bound(cores=2.0, connections=2400)
-    chosen = reach.choose(entries, most)
+    limit = worker_limit.max_workers(cores=2.0, connections=2400)
+    selected = worker_limit.select(entries, limit)
 """
 
 import collections
@@ -15,22 +16,22 @@
 
 from mangosail.scheduler import messages
 
-#: Workers that a leader attends to for each core that it has.
+#: Workers that a leader polls for each of its cores.
 WORKERS_PER_CORE = 400
-#: Workers that any leader attends to: one with a small part of a core is soon replaced
-#: by a faster one, and is the last one left where there is none.
+#: Workers that any leader polls: one with a small part of a core is soon replaced by a
+#: faster one, and is the last one left if there is none.
 MIN_WORKERS = 300
 
-#: What workers have in common that a task may ask for.
+#: Common properties of workers that a task may ask for.
 Group = tuple[str, str, frozenset[str]]
 
 
 def max_workers(cores: float, connections: int) -> int:
-    """Return how many workers a leader can attend to.
+    """Return how many workers a leader can poll.
 
-    `connections` is how many workers its connections are enough for::
+    `connections` is the number of workers for which its connections suffice::
 
-        >>> bound(2.0, 2400), bound(2.0, 1000), bound(0.3, 1000)
+        >>> max_workers(2.0, 2400), max_workers(2.0, 1000), max_workers(0.3, 1000)
         (800, 800, 300)
     """
     return min(max(int(cores * WORKERS_PER_CORE), MIN_WORKERS), connections)
@@ -46,10 +47,11 @@
     count: int,
     already_polled: cabc.Iterable[messages.WorkerEntry] = (),
 ) -> list[messages.WorkerEntry]:
-    """Return `count` entries, or all, of the groups with the fewest in turn.
+    """Return `count` entries, or all, from the groups with the fewest in turn.
 
-    A task may ask for a label, and a whole group may be lost at once: with some of each
-    there is always a place. `attended` are those that the leader has already.
+    A task may ask for a label, and a whole group may fail at once: with some workers of
+    each group there is always one for it. `already_polled` are those that the leader
+    polls already.
     """
     counts = collections.Counter(group_of(entry) for entry in already_polled)
     ranked = []
--- a/src/mangosail/scheduler/worker_speeds.py
+++ b/src/mangosail/scheduler/worker_speeds.py
@@ -1,9 +1,9 @@
-"""How fast each worker works, from the progress that it lists.
+"""Speeds of the workers, learned from the progress that they list.
 
-The load this answers: some workers take several times as long for all that they run,
+This handles slow workers: some take several times as long for everything they run,
 while they answer every call at once. A job ends with its last task, so one slow worker
-in four makes nearly every job of a dozen tasks late. What a task should have achieved
-since the last look is known from others of its step, on other workers.
+in four makes nearly every job of a dozen tasks late. The progress to expect of a task
+since the last poll is known from other tasks of its step, on other workers.
 """
 
 import math
@@ -11,35 +11,36 @@
 
 from mangosail.scheduler import estimates, fleet, messages, progress, throttling
 
-#: Seconds between two looks from which progress is told from rounding: workers list it
-#: in whole percents, and some bring it up to date five times a second.
+#: Minimum seconds between two polls for progress to be told from rounding: workers list
+#: whole percents, and some update them five times a second.
 MIN_SAMPLE_INTERVAL_S = 0.4
-#: Share of a new sample in what is known of a worker; samples scatter by a factor of
-#: 1.5, and by 2 where only the expected seconds say what is usual.
+#: Weight of a new sample in the speed of a worker; samples scatter by a factor of 1.5,
+#: and by 2 where only the estimated duration tells what is usual.
 SAMPLE_WEIGHT = 0.3
 ESTIMATE_SAMPLE_WEIGHT = 0.1
-#: Bound on the logarithm of a sample, so that one odd task proves nothing.
+#: Bound on the logarithm of a sample, so that a single outlier has little effect.
 MAX_LOG_SAMPLE = 2.0
-#: Share of its cores that a task must have had for its progress to tell anything.
+#: Share of its cores that a task must have had for its progress to be meaningful.
 MIN_CPU_SHARE = 0.3
-#: Samples of a step from which they tell more than its expected seconds.
+#: Number of samples from which a step's rates replace its estimated duration.
 MIN_SAMPLES = 4
-#: Speed below which a worker gets no short tasks, as a share of the others'.
+#: Speed relative to the other workers below which a worker gets no short tasks.
 SLOW_SPEED_RATIO = 0.5
-#: Seconds by which what was seen of a worker counts less by a factor of e: one that
-#: gets nothing gives no samples, and is to be tried again.
+#: Seconds in which the weight of earlier samples falls by a factor of e: a worker
+#: without tasks gives no samples, and has to be tried again.
 DECAY_S = 5.0
-#: Share of the workers that may count as slow. Where more are, what was expected is
-#: wrong rather than they, and turning all away would leave the work undone.
+#: Maximum share of the workers that count as slow. If there are more, the expectation
+#: is wrong rather than the workers, and excluding all of them would leave the work
+#: undone.
 MAX_SLOW_SHARE = 0.34
-#: Seconds that a run is let go on before it is judged, and the share of its time by
-#: which going on must be dearer than beginning anew.
+#: Seconds that a run must have lasted before it is assessed, and the factor by which
+#: continuing must take longer than starting anew.
 MIN_AGE_S = 0.4
 MIN_MOVE_GAIN = 1.3
 
 
 class WorkerSpeeds:
-    """Learns the workers' speeds."""
+    """Learns the speeds of the workers."""
 
     def __init__(self, estimator: estimates.DurationEstimator) -> None:
         self.estimator = estimator
@@ -51,8 +52,8 @@
         row: messages.RunningTask,
         now: float,
     ) -> None:
-        """Take in the progress of a run since the last look at it."""
-        between = now - task.sample_at
+        """Record the progress of a run since the last poll."""
+        interval = now - task.sample_at
         if task.sample_run != row.run or task.speed_limit != throttling.FULL_SPEED:
             task.sample_at, task.sample_percent, task.sample_run = (
                 now,
@@ -60,37 +61,41 @@
                 row.run,
             )
             return
-        gained = row.progress_percent - task.sample_percent
-        if between < MIN_SAMPLE_INTERVAL_S or gained <= 0 or task.step.continuous:
-            # One that stands still is for `stragglers` to judge.
+        percent_gained = row.progress_percent - task.sample_percent
+        if (
+            interval < MIN_SAMPLE_INTERVAL_S
+            or percent_gained <= 0
+            or task.step.continuous
+        ):
+            # Stalled tasks are left to `stragglers`.
             return
         task.sample_at, task.sample_percent = now, row.progress_percent
         share = cpu_share(task, row)
         if share < MIN_CPU_SHARE:
             return
-        rate = math.log(gained / 100 / between / share)
+        rate = math.log(percent_gained / 100 / interval / share)
         self._learn(worker, task.step_run, rate, now)
 
     def _learn(
         self, worker: fleet.Worker, step_run: progress.StepRun, rate: float, now: float
     ) -> None:
-        """Compare the rate of one task, as a logarithm, with what is usual."""
-        usual = -math.log(self.estimator.estimate(step_run))
+        """Update a worker's speed from one task's rate, as a logarithm."""
+        reference = -math.log(self.estimator.estimate(step_run))
         weight = ESTIMATE_SAMPLE_WEIGHT
         if step_run.rate_samples >= MIN_SAMPLES:
-            usual = step_run.log_rate_sum / step_run.rate_samples
+            reference = step_run.log_rate_sum / step_run.rate_samples
             weight = SAMPLE_WEIGHT
         step_run.log_rate_sum += rate
         step_run.rate_samples += 1
-        sample = min(max(rate - usual, -MAX_LOG_SAMPLE), MAX_LOG_SAMPLE)
-        known = current_log_speed(worker, now)
-        worker.log_speed = known + weight * (sample - known)
+        sample = min(max(rate - reference, -MAX_LOG_SAMPLE), MAX_LOG_SAMPLE)
+        current = current_log_speed(worker, now)
+        worker.log_speed = current + weight * (sample - current)
         worker.speed_updated_at = now
 
     def worth_moving(
         self, task: progress.Task, worker: fleet.Worker, now: float
     ) -> bool:
-        """Tell whether a run on a slow worker would end sooner if begun elsewhere."""
+        """Return whether a run would end sooner if restarted on another worker."""
         step = task.step
         if task.phase is not progress.Phase.RUNNING or step.continuous or step.gang:
             return False
@@ -100,9 +105,9 @@
         ):
             return False
         speed = math.exp(current_log_speed(worker, now))
-        rest = 1 - task.progress_percent / 100
-        anew = rest if step.checkpointing else 1.0
-        return rest / speed > MIN_MOVE_GAIN * anew
+        remaining = 1 - task.progress_percent / 100
+        restarted = remaining if step.checkpointing else 1.0
+        return remaining / speed > MIN_MOVE_GAIN * restarted
 
 
 def cpu_share(task: progress.Task, row: messages.RunningTask) -> float:
@@ -113,21 +118,21 @@
 
 
 def current_log_speed(worker: fleet.Worker, now: float) -> float:
-    """Return the logarithm of a worker's speed, as far as it still counts."""
+    """Return the logarithm of a worker's speed, decayed to `now`."""
     return worker.log_speed * math.exp((worker.speed_updated_at - now) / DECAY_S)
 
 
 def slow_workers(workers: fleet.Fleet, now: float) -> frozenset[str]:
     """Return the workers that should get no short tasks now.
 
-    They are compared with the one in the middle: slow workers have their tasks for
-    longer, so what is usual in a step leans towards them.
+    They are compared with the median worker: slow workers hold their tasks for longer,
+    which biases the usual rate of a step towards them.
     """
-    known = {w.name: current_log_speed(w, now) for w in workers if w.usable(now)}
-    if not known:
+    speeds = {w.name: current_log_speed(w, now) for w in workers if w.usable(now)}
+    if not speeds:
         return frozenset()
-    bound = statistics.median(known.values()) + math.log(SLOW_SPEED_RATIO)
-    found = [name for name, speed in known.items() if speed < bound]
-    if len(found) > MAX_SLOW_SHARE * len(known):
+    bound = statistics.median(speeds.values()) + math.log(SLOW_SPEED_RATIO)
+    slow = [name for name, speed in speeds.items() if speed < bound]
+    if len(slow) > MAX_SLOW_SHARE * len(speeds):
         return frozenset()
-    return frozenset(found)
+    return frozenset(slow)
