--- a/tests/scheduler/crashes.feature
+++ b/tests/scheduler/crashes.feature
@@ -1,10 +1,11 @@
 Feature: Tasks that crash the workers that start them
 
-  A task may crash each worker that starts it. The worker is back some seconds later, as
-  another one at its address, and lists nothing of what ran there.
+  A task may crash each worker that starts it. The worker returns some seconds later
+  under another name at the same address, and lists nothing of what ran there.
 
   Scenario Outline: A task that crashes each worker that starts it is given up <when>
-    # Each crash ends all that runs beside it; the task was started again for ever.
+    # Guards against restarting it forever, where each crash ends all that runs beside
+    # it.
     Given 5 workers, away for <away> s after a crash
     And <jobs> jobs of short tasks
     And a job with a task that crashes each worker that starts it
@@ -22,7 +23,8 @@
       | though the starts have no answer | 3    | 6    | each answer of a start lost   |
 
   Scenario: Jobs are not given up for tasks that crashed the only other worker
-    # What waits begins together with the guilty ones, on whichever worker comes back.
+    # All waiting tasks start together with the faulty ones, on whichever worker
+    # returns.
     Given 2 workers, away for 1 s after a crash
     And 3 jobs with a task that crashes each worker that starts it
     And 8 jobs of short tasks
@@ -31,40 +33,40 @@
     And the other jobs are shown as completed
 
   Scenario: A job is not given up as its rack crashed twice
-    # The caller's order would be shown as failed though it could be done.
+    # Guards against showing a job as failed that could be completed.
     Given 5 workers, away for 3 s after a crash
     And 12 jobs of short tasks
     When all but one of the workers crash together, and again once all tasks run
     And 20 s pass, with nothing else
     Then the other jobs are shown as completed
 
-  Scenario: A task is not blamed for a worker that was cut off and runs on
+  Scenario: A task is not blamed for a worker that was partitioned and continued
     Given 5 workers, away for 3 s after a crash
-    And a job whose task lasts
-    When its worker is cut off for 7 s, 3 times, and the task starts elsewhere
+    And a job with a long-running task
+    When its worker is partitioned for 7 s, 3 times, and the task starts elsewhere
     Then no crash counts against it
 
   Scenario: A task is not blamed for a worker that drained before it left
     Given 5 workers, away for 3 s after a crash
-    And a job whose task lasts
+    And a job with a long-running task
     When its worker drains and leaves
     Then no crash counts against it
 
-  Scenario: A run that goes on well clears its task
-    # A task that lasts meets many crashes in its time.
+  Scenario: A stable run clears its task
+    # A long-running task sees many crashes in its lifetime.
     Given 5 workers, away for 3 s after a crash
-    And a job whose task lasts
+    And a job with a long-running task
     When its worker crashes, 6 times, each after the task has run for 7 s
     Then no crash counts against it
     And that job is still shown as running
 
-  Scenario: A suspect starts where no other one is, and least is lost
+  Scenario: A suspect starts where no other one is, and a crash would do the least harm
     Given 5 workers, away for 3 s after a crash
     And 4 jobs of short tasks
     When a worker that runs 2 of their tasks crashes, and these start again
     Then each of these tasks is on a worker of its own
 
-  Scenario Outline: Crashes are remembered by <reader>
+  Scenario Outline: Crash counts are stored, and read by <reader>
     Given a record of a task under which a worker crashed
     When it is read by <reader>
     Then <known>
@@ -72,4 +74,4 @@
     Examples:
       | reader                       | known                                   |
       | the next leader              | the crash counts against the task       |
-      | an instance of an older build | it reads the rest, and passes over that |
+      | an instance of an older build | it reads the rest, and ignores the crashes |
--- a/tests/scheduler/lives.py
+++ b/tests/scheduler/lives.py
@@ -1,16 +1,16 @@
-"""Histories of the scheduler in which short tasks end, and workers crash."""
+"""Simulated runs of the scheduler in which short tasks end and workers crash."""
 
 from tests.scheduler import fakes, machine
 
 from mangosail.scheduler import keys
 
-LASTING = "00000000000000ee"
+LONG_RUNNING = "00000000000000ee"
 #: Seconds that a short task takes.
-TASK_TERM = 0.6
+TASK_DURATION_S = 0.6
 
 
 class History(machine.Scheduling):
-    """A history in which short tasks end by themselves."""
+    """A simulated run in which short tasks end by themselves."""
 
     turn = 0.1
 
@@ -18,37 +18,37 @@
         self.workers = workers
         super().__init__()
         self.world.away_term = away
-        self.begun = {}
-        self.short = []
-        #: What happens besides, each turn.
+        self.started_at = {}
+        self.short_jobs = []
+        #: Additional event in each turn.
         self.event = lambda: None
 
-    def hand_in_short(self):
+    def submit_short(self):
         self.hand_in([2])
-        self.short.append(max(self.jobs))
+        self.short_jobs.append(max(self.jobs))
 
-    def hand_in_lasting(self):
-        """Hand in a job whose task lasts, let it start, and return the task's name."""
-        job = fakes.job(LASTING, fakes.step(continuous=True))
-        self.jobs[LASTING] = job
-        self.world.rows.put(keys.job(LASTING), job)
+    def submit_long_running(self):
+        """Submit a job with a long-running task, let it start, and return its name."""
+        job = fakes.job(LONG_RUNNING, fakes.step(continuous=True))
+        self.jobs[LONG_RUNNING] = job
+        self.world.rows.put(keys.job(LONG_RUNNING), job)
         self.pass_seconds(1.0)
-        return f"{LASTING}.0.0.0"
+        return f"{LONG_RUNNING}.0.0.0"
 
     def pass_seconds(self, seconds):
         until = self.world.clock.now + seconds
         while self.world.clock.now < until:
             self.lead_on(1)
             self.event()
-            self.end_short()
+            self.end_short_tasks()
 
-    def end_short(self):
+    def end_short_tasks(self):
         now = self.world.clock.now
         for worker in self.living():
             worker.expire()
             for task, run in list(worker.running.items()):
-                began_at = self.begun.setdefault((task, run), now)
-                if LASTING not in task and now > began_at + TASK_TERM:
+                started_at = self.started_at.setdefault((task, run), now)
+                if LONG_RUNNING not in task and now > started_at + TASK_DURATION_S:
                     worker.end(task)
 
     def state(self, job_id):
@@ -62,7 +62,7 @@
 
 
 def new_leader_at_each_crash(history):
-    """Return what replaces the leader whenever a task has crashed a worker."""
+    """Return an event that replaces the leader whenever a task crashed a worker."""
     seen = []
 
     def event():
--- a/tests/scheduler/ordering.feature
+++ b/tests/scheduler/ordering.feature
@@ -1,9 +1,10 @@
-Feature: Which jobs go first when there is not room for all
+Feature: Order of jobs when there is not room for all
 
-  Callers wait for an answer that is in time. When more work comes than the workers can
-  do, jobs that get on side by side all end late; the backlog makes later ones late too.
+  Callers wait for an answer that is in time. When more work arrives than the workers
+  can do, jobs that progress side by side all end late, and the backlog delays later
+  ones.
 
-  Scenario Outline: A burst leaves more jobs in time than in order of arrival
+  Scenario Outline: In a burst more jobs end in time than in order of arrival
     # The load: jobs of unequal size, <times> times what the workers can do for
     # <seconds> s, then half of it. Run times are known to a factor of two.
     Given jobs that come <times> times as fast as they can be done for <seconds> s
@@ -17,12 +18,12 @@
       | 2.5   | 13      | 2.5  |
       | 3     | 6       | 1.8  |
 
-  Scenario: With room for all nobody is left out
+  Scenario: With room for all jobs none is deferred
     Given jobs that come 0.5 times as fast as they can be done for 10 s
     When they are done in order of arrival, and as planned
     Then as planned at least 0.99 times as many end in time over 5 seeds
 
-  Scenario: The job with the most work is left out for the others, and comes back
+  Scenario: The job with the most work is deferred for the others, and selected again
     Given jobs due in 4 s with 10, 12 and 30 core-seconds left
     When they are planned for 10 cores
     Then 2 can end in time, and the largest goes last
--- a/tests/scheduler/planning.feature
+++ b/tests/scheduler/planning.feature
@@ -1,26 +1,26 @@
-Feature: The order of jobs follows from how far each has come
+Feature: The order of jobs follows from their progress
 
-  Scenario: With room for all no order is worked out
+  Scenario: With room for all jobs no order is computed
     Given 3 jobs, of which the first has the most work left
     When none of their tasks has waited for room
-    Then none is left out, and all stand equal
+    Then none is deferred, and all have the same rank
 
-  Scenario: Once some have waited, those with the least work go first
+  Scenario: Once some tasks have waited, jobs with the least work go first
     Given 3 jobs, of which the first has the most work left
     When a task has waited for room, and 8 cores are there
-    Then the first goes last and is left out
+    Then the first goes last and is deferred
 
-  Scenario: Nothing is left out once no job has come for a while
-    # The caller of a large job would wait for ever: it is put off for others that
-    # might come, and none does.
+  Scenario: No job is deferred once none has arrived for a while
+    # Guards against a large job that waits forever: it is deferred for others that
+    # might arrive, and none does.
     Given 3 jobs, of which the first has the most work left
     When a task has waited for room, and 8 cores are there
     And 6 s pass without a new job
-    Then none is left out
+    Then none is deferred
 
-  Scenario: A job that comes after the plan goes last, until a plan knows it
-    # Each large job that came took the room that came free before the next plan, ahead
-    # of those that could still be in time.
+  Scenario: A job that arrives after the plan goes last, until it is in a plan
+    # Guards against large new jobs that take the room that comes free before the next
+    # plan, ahead of jobs that could still be in time.
     Given 3 jobs, of which the first has the most work left
     When a task has waited for room, and 8 cores are there
     And a job with hardly any work comes 0.01 s later
--- a/tests/scheduler/second_lives.feature
+++ b/tests/scheduler/second_lives.feature
@@ -1,84 +1,87 @@
-Feature: Workers that start again under their names
+Feature: Workers that restart under the same name
 
-  A worker that crashed may keep its name. It then knows nothing of before; its clock and
-  the numbers of its ends begin anew, and what it says of itself tells when it was born.
+  A worker that crashed may keep its name. Its next incarnation knows nothing of the one
+  before: its clock and the numbers of its ends start anew, and its entry shows when it
+  was born.
 
-  Scenario: Ends of a second life are read before they are noted
-    # Their tasks would run again. The numbers of the ends are lower than those seen before.
+  Scenario: Ends of a second incarnation are read before they are acknowledged
+    # Guards against repeated runs: the numbers of the ends are lower than those seen
+    # before.
     Given 2 workers that keep their names
     And 6 jobs of short tasks that are done
-    When each worker crashes and starts again
+    When each worker crashes and restarts
     And 6 more jobs of short tasks come, and 5 s go by
     Then every job is completed, and no task was started twice
 
-  Scenario: Jobs go on at once where all workers start again
-    # They would wait for as long as the earlier lives had lasted.
+  Scenario: Jobs continue at once if all workers restart
+    # Guards against jobs that wait for as long as the earlier incarnations had lasted.
     Given 2 workers that keep their names
     When 60 s go by
     And 2 jobs of short tasks come, and run
-    And each worker crashes and starts again
+    And each worker crashes and restarts
     And 3 s go by
     Then every job is completed
 
-  Scenario: A start that was on its way to the first life runs once
-    # The caller would see its order carried out twice.
+  Scenario: A start that was in flight to the first incarnation runs once
+    # Guards against a job that is carried out twice.
     Given 2 workers that keep their names
     And a task whose start is late at one of them
-    When that worker crashes and starts again
+    When that worker crashes and restarts
     And 2 s go by
-    And the late start arrives in its second life
+    And the late start arrives in its second incarnation
     And 3 s go by
     Then no task ran twice at a time
     And every job is completed
 
-  Scenario: A start that the second life has answered is not over with the first
+  Scenario: A start that the second incarnation has answered does not end with the first
     Given 2 workers that keep their names
-    When a worker crashes and starts again, and a job comes before that is known
+    When a worker crashes and restarts, and a job comes before that is known
     And 3 s go by
     Then no task ran twice at a time
     And every job is completed
 
-  Scenario: A start whose record is written after its worker has started again
-    # It would be stopped on the worker that it runs on next, for the one it was meant for.
+  Scenario: A start whose record is written after its worker has restarted
+    # Guards against a stop, meant for the first incarnation, on the worker that runs it
+    # next.
     Given 2 workers that keep their names
-    When jobs wait for the store, each worker starts again, and the store is back
+    When jobs wait for the store, each worker restarts, and the store is back
     And 5 s go by
     Then every job is completed, and no task was started twice
 
-  Scenario: An answer of the first life that comes late says nothing of the second
+  Scenario: A late answer of the first incarnation says nothing about the second
     Given 2 workers that keep their names
-    And a task that runs in the second life of a worker
-    When an answer of its first life comes late
-    Then the task runs on, in the second life
+    And a task that runs in the second incarnation of a worker
+    When an answer of its first incarnation comes late
+    Then the task continues in the second incarnation
 
-  Scenario: The entry of the first life is written once more
+  Scenario: The entry of the first incarnation is written once more
     Given 2 workers that keep their names
-    And a task that runs in the second life of a worker
-    When the entry of its first life is written once more
+    And a task that runs in the second incarnation of a worker
+    When the entry of its first incarnation is written once more
     And 3 s go by
     Then the task was started once, and runs
 
-  Scenario: A second life is not used before it has told what it has
+  Scenario: A second incarnation is not used before its capacity is known
     # It may be of another kind: fewer cores, other labels.
     Given 2 workers that keep their names
-    When each worker crashes and starts again, and only its looks tell
+    When each worker crashes and restarts, and only its reports show it
     And 6 more jobs of short tasks come, and 1 s goes by
-    Then nothing was started in a second life
-    When each worker tells what it has, and 5 s go by
+    Then nothing was started in a second incarnation
+    When each worker lists its capacity, and 5 s go by
     Then every job is completed
 
-  Scenario: A second life is used whose earlier entry had lapsed before
-    # Jobs would wait beside it for as long as this leader leads.
+  Scenario: A second incarnation is used whose earlier entry had expired before
+    # Guards against jobs that wait beside it for as long as this leader leads.
     Given 2 workers that keep their names
-    When each worker crashes, its entry lapses, and it starts again
+    When each worker crashes, its entry expires, and it restarts
     And 6 more jobs of short tasks come, and 5 s go by
     Then every job is completed
 
-  Scenario: A lease that a look at the first life extended is waited out in the second
-    # Its deadline stands on a clock that showed far more, so it runs for the longest term.
+  Scenario: A lease extended in the first incarnation is waited out in the second
+    # Its deadline is on a clock that was far ahead, so it runs for the longest term.
     Given 2 workers that keep their names
     When 60 s go by
-    And each worker starts again while it is looked at, and gets a task, and falls silent
+    And each worker restarts while it is polled, gets a task, and becomes unreachable
     And 12 s go by in which nothing ends by itself
     Then no task ran twice at a time
 
@@ -88,8 +91,9 @@
     When a job comes with a task that crashes each worker that starts it, and 30 s go by
     Then that job is failed, and the task was started less than 6 times
 
-  Scenario: A task is given up whose crashes no leader has lived to see
-    # The record names a worker; that another life of it answers the next leader can't tell.
+  Scenario: A task is given up whose crashes no leader has observed
+    # The record names a worker, not its incarnation, so the next leader can't tell that
+    # another one answers.
     Given 5 workers that keep their names
     When the leader changes at each crash
     And a job comes with a task that crashes each worker that starts it, and 30 s go by
--- a/tests/scheduler/steps/capacity_steps.py
+++ b/tests/scheduler/steps/capacity_steps.py
@@ -16,7 +16,7 @@
             super().add_worker(address)
 
 
-def hand_in(context, job_id, count):
+def submit(context, job_id, count):
     job = fakes.job(job_id, fakes.step(count))
     context.history.jobs[job_id] = job
     context.history.world.rows.put(keys.job(job_id), job)
@@ -46,12 +46,12 @@
     "and {more:d} tasks more come"
 )
 def step_resize(context, count, cores, more):
-    hand_in(context, FIRST, count)
+    submit(context, FIRST, count)
     context.history.lead_on(SECOND)
     assert len(context.worker.running) == count
     resize(context, cores)
     context.history.lead_on(1)
-    hand_in(context, LATER, more)
+    submit(context, LATER, more)
     context.history.lead_on(SECOND)
 
 
@@ -60,7 +60,7 @@
 def step_waits(context, count, cores):
     history = context.history
     history.world.rows.fault = "lost"
-    hand_in(context, FIRST, count)
+    submit(context, FIRST, count)
     history.world.rows.once.extend(["down"] * 20)
     history.lead_on(4)
     assert not context.worker.running
--- a/tests/scheduler/steps/closed_steps.py
+++ b/tests/scheduler/steps/closed_steps.py
@@ -28,7 +28,7 @@
     context.leader.round(4)
 
 
-@when("jobs of {count:d} tasks are handed in")
+@when("jobs of {count:d} tasks are submitted")
 def step_jobs(context, count):
     for job_id in IDS:
         job = fakes.job(job_id, fakes.step(count // len(IDS)))
--- a/tests/scheduler/steps/crashes_steps.py
+++ b/tests/scheduler/steps/crashes_steps.py
@@ -16,7 +16,7 @@
 @given("{count:d} jobs of short tasks")
 def step_short(context, count):
     for _ in range(count):
-        context.history.hand_in_short()
+        context.history.submit_short()
 
 
 @given("a job with a task that crashes each worker that starts it")
@@ -31,9 +31,9 @@
         context.history.hand_in_crashing([2])
 
 
-@given("a job whose task lasts")
+@given("a job with a long-running task")
 def step_lasting(context):
-    context.task = context.history.hand_in_lasting()
+    context.task = context.history.submit_long_running()
 
 
 def lost_answers(history):
@@ -60,7 +60,7 @@
 @when("all but one of the workers crash together, and again once all tasks run")
 def step_rack(context):
     history = context.history
-    # Tasks that have just begun are the ones that a crash speaks against most.
+    # A crash counts against the tasks that have just started.
     history.lead_on(2)
     first = history.living()[1:]
     for worker in first:
@@ -72,8 +72,8 @@
         history.world.crash(worker)
 
 
-@when("its worker is cut off for {seconds:d} s, {times:d} times, and the task starts "
-      "elsewhere")  # fmt: skip
+@when("its worker is partitioned for {seconds:d} s, {times:d} times, and the task "
+      "starts elsewhere")  # fmt: skip
 def step_cut(context, seconds, times):
     history = context.history
     for _ in range(times):
@@ -137,7 +137,7 @@
 
 @then("the other jobs are shown as completed")
 def step_completed(context):
-    states = {job: context.history.state(job) for job in context.history.short}
+    states = {job: context.history.state(job) for job in context.history.short_jobs}
     assert set(states.values()) <= {"completed"}, states
 
 
@@ -149,7 +149,7 @@
 
 @then("that job is still shown as running")
 def step_running(context):
-    assert context.history.state(lives.LASTING) == "running"
+    assert context.history.state(lives.LONG_RUNNING) == "running"
 
 
 @then("each of these tasks is on a worker of its own")
@@ -161,7 +161,7 @@
 
 @given("a record of a task under which a worker crashed")
 def step_record(context):
-    context.job = progress.JobProgress(fakes.job(lives.LASTING, fakes.step(3)))
+    context.job = progress.JobProgress(fakes.job(lives.LONG_RUNNING, fakes.step(3)))
     _, task, _ = context.job.tasks()
     task.run = 2
     task.crashes = 3
@@ -195,6 +195,6 @@
     context.found = codec.from_json(context.kept_record, OlderRecord)
 
 
-@then("it reads the rest, and passes over that")
+@then("it reads the rest, and ignores the crashes")
 def step_rest(context):
     assert context.found.tasks == ((0, 0, 1, 2, 0, -1, ""),), context.found
--- a/tests/scheduler/steps/ordering_steps.py
+++ b/tests/scheduler/steps/ordering_steps.py
@@ -11,18 +11,19 @@
 STRETCH = 2.0
 TARGET = 1.0
 SEEDS = range(5)
-#: Core-seconds of a job in the mean; with `CORES` it says how fast jobs can be done.
+#: Mean core-seconds of a job; with `CORES` this gives the rate at which jobs can be
+#: done.
 MEAN_WORK = 49.0
 
 
 @dataclasses.dataclass
 class Job:
-    """A job of equal tasks of one core, as the replay knows it."""
+    """A simulated job of equal tasks of one core."""
 
     name: str
     arrived: float
     seconds: float
-    guessed: float
+    estimated: float
     waiting: int
     running: list
     ended: float = math.inf
@@ -33,53 +34,53 @@
 
 
 def arrivals(rand, times, burst):
-    """Draw jobs: `times` what can be done during the burst, half of it after."""
+    """Draw jobs: `times` what can be done during the burst, half of that after."""
     now, jobs = 0.0, []
     while now < burst + 15:
         rate = (times if now < burst else 0.5) * CORES / MEAN_WORK
         now += rand.expovariate(rate)
         seconds = rand.lognormvariate(math.log(1.5), 0.5)
         count = max(1, round(rand.lognormvariate(math.log(22), 0.6)))
-        guessed = seconds * rand.lognormvariate(0, 0.7)
-        jobs.append(Job(f"j{len(jobs):03d}", now, seconds, guessed, count, []))
+        estimated = seconds * rand.lognormvariate(0, 0.7)
+        jobs.append(Job(f"j{len(jobs):03d}", now, seconds, estimated, count, []))
     return jobs
 
 
 def replay(jobs, ranks):
     """Start tasks on free cores in the order that `ranks` gives, until all end."""
-    now, present, coming = 0.0, [], list(jobs)
-    while coming or present:
+    now, active, coming = 0.0, [], list(jobs)
+    while coming or active:
         while coming and coming[0].arrived <= now:
-            present.append(coming.pop(0))
-        for job in present:
+            active.append(coming.pop(0))
+        for job in active:
             job.running = [end for end in job.running if end > now]
             if not job.waiting and not job.running:
                 job.ended = now
-        present = [job for job in present if job.ended == math.inf]
-        free = CORES - sum(len(job.running) for job in present)
-        order = ranks(present, now)
-        for job in sorted(present, key=lambda job: order.get(job.name, 0)):
-            begun = min(free, job.waiting)
-            free -= begun
-            job.waiting -= begun
-            job.running += [now + job.seconds] * begun
+        active = [job for job in active if job.ended == math.inf]
+        free = CORES - sum(len(job.running) for job in active)
+        order = ranks(active, now)
+        for job in sorted(active, key=lambda job: order.get(job.name, 0)):
+            started = min(free, job.waiting)
+            free -= started
+            job.waiting -= started
+            job.running += [now + job.seconds] * started
         now += STEP
     return jobs
 
 
-def by_arrival(present, now):
-    return {job.name: job.arrived for job in present}
+def by_arrival(active, now):
+    return {job.name: job.arrived for job in active}
 
 
-def as_planned(present, now):
+def as_planned(active, now):
     works = [
         ordering.RemainingWork(
             job.name,
-            job.arrived + STRETCH * job.guessed + TARGET,
-            (job.waiting + len(job.running)) * job.guessed,
-            job.guessed if job.waiting else job.guessed / 2,
+            job.arrived + STRETCH * job.estimated + TARGET,
+            (job.waiting + len(job.running)) * job.estimated,
+            job.estimated if job.waiting else job.estimated / 2,
         )
-        for job in present
+        for job in active
     ]
     return ordering.plan(works, CORES, now).ranks
 
--- a/tests/scheduler/steps/planning_steps.py
+++ b/tests/scheduler/steps/planning_steps.py
@@ -24,7 +24,7 @@
 
 
 def step_of(number, count):
-    """Return the step that is ready of a job with one step."""
+    """Return the step, ready to run, of a job with one step."""
     job = fakes.job(f"{number:016x}", fakes.step(count))
     job = dataclasses.replace(job, accepted_at=WALL)
     (ready,) = progress.JobProgress(job).ready_steps(WALL)
@@ -48,24 +48,28 @@
     context.planner.refresh(context.steps, context.now, WALL)
 
 
-@then("none is left out, and all stand equal")
+@then("none is deferred, and all have the same rank")
 def equal(context):
-    none_left_out(context)
+    none_deferred(context)
     assert len({context.planner.sort_key(step) for step in context.steps}) == 1
 
 
-@then("none is left out")
-def none_left_out(context):
-    left = [context.planner.left_out(step, context.now) for step in context.steps]
-    assert not any(left), left
+@then("none is deferred")
+def none_deferred(context):
+    deferred = [
+        context.planner.is_deferred(step, context.now) for step in context.steps
+    ]
+    assert not any(deferred), deferred
 
 
-@then("the first goes last and is left out")
+@then("the first goes last and is deferred")
 def first_last(context):
     order = sorted(context.steps, key=context.planner.sort_key)
     assert order[-1] is context.steps[0]
-    left = [context.planner.left_out(step, context.now) for step in context.steps]
-    assert left == [True, False, False], left
+    deferred = [
+        context.planner.is_deferred(step, context.now) for step in context.steps
+    ]
+    assert deferred == [True, False, False], deferred
 
 
 @when("a job with hardly any work comes {seconds:g} s later")
--- a/tests/scheduler/steps/reach_steps.py
+++ b/tests/scheduler/steps/reach_steps.py
@@ -21,7 +21,7 @@
 
 @then(
     "a leader of {cores:g} cores and {descriptors:d} descriptors "
-    "attends to {count:d} workers"
+    "polls {count:d} workers"
 )
 def step_bound(context, cores, descriptors, count):
     assert (
@@ -30,7 +30,7 @@
 
 
 @then(
-    "of {count:d} workers in {racks:d} racks the {most:d} that are chosen "
+    "of {count:d} workers in {racks:d} racks the {most:d} that are selected "
     "are {low:d} or {high:d} in each rack"
 )
 def step_spread(context, count, racks, most, low, high):
@@ -40,22 +40,22 @@
     assert set(found.values()) == {low, high}, set(found.values())
 
 
-@given("{count:d} workers in {racks:d} racks, of which a leader attends to {most:d}")
+@given("{count:d} workers in {racks:d} racks, of which a leader polls {most:d}")
 def step_world(context, count, racks, most):
     context.world = fakes.World(random.Random(9))
     context.world.most_workers = most
     context.racks = racks
     for number in range(count):
-        add(context, number)
+        add_worker(context, number)
     context.leader = context.world.lead("first")
 
 
-def add(context, number):
+def add_worker(context, number):
     labels = (f"r{number % context.racks}",)
     context.world.add_worker(f"w{number}", labels=labels)
 
 
-@when("a job of {count:d} tasks is handed in")
+@when("a job of {count:d} tasks is submitted")
 def step_job(context, count):
     context.world.rows.put(keys.job(JOB), fakes.job(JOB, fakes.step(count)))
     context.leader.round(8)
@@ -79,7 +79,7 @@
 @when("{added:d} of the workers without tasks are added, and {lost:d} with tasks crash")
 def step_crash(context, added, lost):
     for number in range(100, 100 + added):
-        add(context, number)
+        add_worker(context, number)
     for worker in busy(context)[:lost]:
         worker.fault = "replaced"
         worker.running.clear()
@@ -92,7 +92,7 @@
         context.leader.round(5)
 
 
-@when("a leader that attends to {most:d} workers takes over, and {seconds:d} s pass")
+@when("a leader that polls {most:d} workers takes over, and {seconds:d} s pass")
 def step_take_over(context, most, seconds):
     context.world.most_workers = most
     context.leader = context.world.lead("second")
@@ -106,7 +106,7 @@
             worker.end(task)
 
 
-@then("{most:d} workers are attended to, and the job ends")
+@then("{most:d} workers are polled, and the job ends")
 def step_attended(context, most):
     for _ in range(4):
         step_end(context)
@@ -115,23 +115,20 @@
     assert context.world.rows.state(JOB) == "completed"
 
 
-@then(
-    "with {count:d} workers listed, {most:d} are looked at, "
-    "and each of the others not once"
-)
+@then("with {count:d} workers listed, {most:d} are polled, and none of the others")
 def step_looks(context, count, most):
     context.racks = count // PER_RACK
     context.world = fakes.World(random.Random(9))
     context.world.most_workers = most
     for number in range(count):
-        add(context, number)
-    looked = set()
-    look = context.world.calls.poll
+        add_worker(context, number)
+    polled = set()
+    poll = context.world.calls.poll
 
     def counted(worker, *args, **kwargs):
-        looked.add(worker.name)
-        return look(worker, *args, **kwargs)
+        polled.add(worker.name)
+        return poll(worker, *args, **kwargs)
 
     context.world.calls.poll = counted
     context.world.lead("first").round(2)
-    assert len(looked) == most, len(looked)
+    assert len(polled) == most, len(polled)
--- a/tests/scheduler/steps/rounds_steps.py
+++ b/tests/scheduler/steps/rounds_steps.py
@@ -11,12 +11,12 @@
 from mangosail.scheduler import keys, placing, ranking, scheduler
 
 JOB = "00000000000000aa"
-#: Seconds for which the tasks have stood still: longer than a round bears.
-STOOD = 5.0
+#: Seconds for which the tasks have been paused: longer than a round tolerates.
+PAUSED_S = 5.0
 
 
-def begin(context, count):
-    """Let an instance lead `count` workers."""
+def start_leader(context, count):
+    """Let an instance lead that has `count` workers."""
     context.world = fakes.World(random.Random(5))
     for number in range(count):
         context.world.add_worker(f"w{number}")
@@ -24,7 +24,7 @@
 
 
 def slowed(world, function, milliseconds):
-    """Return `function`, which now takes some time of the world's clock."""
+    """Return `function`, which now takes some time on the world's clock."""
 
     def slow(*args):
         world.clock.now += milliseconds / 1000
@@ -33,21 +33,21 @@
     return slow
 
 
-@given("a leader with {tasks:d} task that stands still on {count:d} workers")
-@given("a leader with {tasks:d} tasks that stand still on {count:d} workers")
+@given("a leader with {tasks:d} paused task on {count:d} workers")
+@given("a leader with {tasks:d} paused tasks on {count:d} workers")
 def step_leader(context, tasks, count):
-    begin(context, count)
+    start_leader(context, count)
     step = fakes.step(tasks, best_effort=True, checkpointing=True)
     context.world.rows.put(keys.job(JOB), fakes.job(JOB, step))
     context.leader.round(8)
     context.tasks = [context.leader.task(f"{JOB}.0.0.{n}") for n in range(tasks)]
     for task in context.tasks:
         task.speed_limit = 0
-        task.throttled_at = context.world.clock.now - STOOD
+        task.throttled_at = context.world.clock.now - PAUSED_S
     context.world.clock.now += 1.0
 
 
-@given("a look for room elsewhere takes {milliseconds:d} ms")
+@given("a search for room elsewhere takes {milliseconds:d} ms")
 def step_slow_look(context, milliseconds):
     placer = context.leader.scheduler.rounds.placer
     placer.has_room = slowed(context.world, placer.has_room, milliseconds)
@@ -66,7 +66,7 @@
         context.world.clock.now += 0.05
 
 
-@then("it has looked for room for {milliseconds:d} ms at most")
+@then("it has searched for room for {milliseconds:d} ms at most")
 def step_looked(context, milliseconds):
     took = context.world.clock.now - context.began_at
     assert 0 < took <= milliseconds / 1000 + 1e-6, took
@@ -78,25 +78,25 @@
     assert told == count, told
 
 
-@then("it finds room elsewhere with a look at {most:d} workers at most")
+@then("it finds room elsewhere with a check of {most:d} workers at most")
 def step_few_looks(context, most):
     placer = context.leader.scheduler.rounds.placer
     step_run = context.tasks[0].step_run
-    with mock.patch.object(placing, "allowed", wraps=placing.is_eligible) as allowed:
+    with mock.patch.object(placing, "is_eligible", wraps=placing.is_eligible) as check:
         assert placer.has_room(step_run, "pool", context.world.clock.now)
-    assert allowed.call_count <= most, allowed.call_count
+    assert check.call_count <= most, check.call_count
 
 
 @given("a leader with {count:d} job to place, each of which takes {milliseconds:d} ms")
 @given("a leader with {count:d} jobs to place, each of which takes {milliseconds:d} ms")
 def step_jobs(context, count, milliseconds):
-    begin(context, count)
+    start_leader(context, count)
     context.leader.round(4)
     context.jobs = [f"{number:016x}" for number in range(count)]
     for job_id in context.jobs:
         context.world.rows.put(keys.job(job_id), fakes.job(job_id, fakes.step()))
     for feed in context.leader.feeds:
-        feed.step(0)
+        feed.read_once(0)
     placer = context.leader.scheduler.rounds.placer
     placer.place = slowed(context.world, placer.place, milliseconds)
     context.turns = []
@@ -105,7 +105,7 @@
 
 
 def take_turn(context, seconds):
-    """Note when others had a turn, and for how long."""
+    """Record when other greenlets had a turn, and for how long."""
     context.turns.append((context.world.clock.now, seconds))
     context.world.clock.now += seconds
     context.on_turn()
@@ -154,7 +154,7 @@
 
 @given("{jobs:d} jobs and {count:d} workers, each of which takes {took:d} ms to read")
 def step_known(context, jobs, count, took):
-    begin(context, count)
+    start_leader(context, count)
     world = context.world
     for number in range(jobs):
         job_id = f"{number:016x}"
@@ -179,13 +179,13 @@
 
 @then("it knows {jobs:d} jobs and {count:d} workers")
 def step_knows(context, jobs, count):
-    known = context.leader.scheduler
-    assert (len(known.jobs), len(known.workers)) == (jobs, count)
+    leading = context.leader.scheduler
+    assert (len(leading.jobs), len(leading.workers)) == (jobs, count)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Named:
-    """What a ranking needs to know of a worker."""
+    """A worker as far as a ranking needs it."""
 
     name: str
 
--- a/tests/scheduler/steps/second_lives_steps.py
+++ b/tests/scheduler/steps/second_lives_steps.py
@@ -5,13 +5,13 @@
 
 
 class SecondLives(lives.History):
-    """A history in which workers that crash start again under their names."""
+    """A history in which workers that crash restart under the same name."""
 
     tells_life = True
 
 
-def begin_again(context, listed=True):
-    """Crash each worker; its next life answers some turns later."""
+def restart_all(context, listed=True):
+    """Crash each worker; its next incarnation answers some turns later."""
     history = context.history
     for worker in history.living():
         history.world.crash(worker)
@@ -20,9 +20,9 @@
     return [restart(context, worker, listed) for worker in crashed(history)]
 
 
-def hand_in(context, count):
+def submit_jobs(context, count):
     for _ in range(count):
-        context.history.hand_in_short()
+        context.history.submit_short()
 
 
 def crashed(history):
@@ -48,17 +48,17 @@
 
 @given("{count:d} jobs of short tasks that are done")
 def step_done(context, count):
-    hand_in(context, count)
+    submit_jobs(context, count)
     context.history.pass_seconds(5.0)
     step_completed(context)
 
 
-@when("each worker crashes and starts again")
+@when("each worker crashes and restarts")
 def step_all_again(context):
-    context.second = begin_again(context)
+    context.second = restart_all(context)
 
 
-@when("each worker crashes, its entry lapses, and it starts again")
+@when("each worker crashes, its entry expires, and it restarts")
 def step_lapsed(context):
     history = context.history
     for worker in history.living():
@@ -70,16 +70,16 @@
         restart(context, worker)
 
 
-@when("each worker crashes and starts again, and only its looks tell")
+@when("each worker crashes and restarts, and only its reports show it")
 def step_unlisted_lives(context):
-    context.second = begin_again(context, listed=False)
+    context.second = restart_all(context, listed=False)
 
 
-@when("jobs wait for the store, each worker starts again, and the store is back")
+@when("jobs wait for the store, each worker restarts, and the store is back")
 def step_waits_for_store(context):
     history = context.history
     history.world.rows.once.extend(["down"] * 40)
-    hand_in(context, 2)
+    submit_jobs(context, 2)
     history.lead_on(2)
     for worker in list(history.living()):
         history.world.crash(worker)
@@ -92,7 +92,7 @@
     history.room_is_set_aside_where_tasks_may_run()
 
 
-@when("each worker tells what it has, and {seconds:d} s go by")
+@when("each worker lists its capacity, and {seconds:d} s go by")
 def step_tell(context, seconds):
     for worker in context.second:
         context.history.world.list(worker)
@@ -102,24 +102,22 @@
 @when("{count:d} more jobs of short tasks come, and {seconds:d} s go by")
 @when("{count:d} more jobs of short tasks come, and {seconds:d} s goes by")
 def step_more(context, count, seconds):
-    hand_in(context, count)
+    submit_jobs(context, count)
     context.history.pass_seconds(seconds)
 
 
-@when(
-    "each worker starts again while it is looked at, and gets a task, and falls silent"
-)
+@when("each worker restarts while it is polled, gets a task, and becomes unreachable")
 def step_while_looked_at(context):
     history = context.history
     for worker in list(history.living()):
         history.world.crash(worker)
         history.world.returns.clear()
         restart(context, worker, listed=False)
-    # The next look is on its way already: it reaches the later life.
+    # The next poll is already in flight: it reaches the later incarnation.
     history.lead_on(1)
     for worker in history.living():
         history.world.list(worker)
-    hand_in(context, 1)
+    submit_jobs(context, 1)
     history.lead_on(3)
     (first, *_) = [worker for worker in history.living() if worker.running]
     first.fault = "silent"
@@ -136,7 +134,7 @@
 
 @when("{count:d} jobs of short tasks come, and run")
 def step_run(context, count):
-    hand_in(context, count)
+    submit_jobs(context, count)
     context.history.lead_on(3)
     assert any(worker.running for worker in context.history.living())
 
@@ -152,30 +150,30 @@
     for worker in history.living():
         worker.fault = "late"
     history.hand_in([1])
-    history.short.append(max(history.jobs))
+    history.short_jobs.append(max(history.jobs))
     history.lead_on(1)
     (context.worker,) = [worker for worker in history.living() if worker.late]
     for worker in history.living():
         worker.fault = ""
-    # What is late is the start alone, not what is sent after it.
+    # Only the start is late, not the orders sent after it.
     context.worker.late = context.worker.late[:1]
 
 
-@when("that worker crashes and starts again")
+@when("that worker crashes and restarts")
 def step_again(context):
     context.history.world.crash(context.worker)
     context.history.world.returns.clear()
     context.worker = context.history.world.restart(context.worker)
 
 
-@when("the late start arrives in its second life")
+@when("the late start arrives in its second incarnation")
 def step_arrives(context):
     (effect,) = context.worker.late
     context.worker.late = []
     effect(context.worker)
 
 
-@when("a worker crashes and starts again, and a job comes before that is known")
+@when("a worker crashes and restarts, and a job comes before that is known")
 def step_unknown_life(context):
     history = context.history
     history.lead_on(2)
@@ -183,10 +181,10 @@
         history.world.crash(worker)
         history.world.returns.clear()
         restart(context, worker, listed=False)
-    # Looks find it out only later; orders are answered at once.
+    # Polls detect it only later; orders are answered at once.
     history.leaders[-1].looking = False
     history.hand_in([2])
-    history.short.append(max(history.jobs))
+    history.short_jobs.append(max(history.jobs))
     history.lead_on(2)
     assert any(worker.running for worker in history.living())
     history.leaders[-1].looking = True
@@ -194,37 +192,37 @@
         history.world.list(worker)
 
 
-@given("a task that runs in the second life of a worker")
+@given("a task that runs in the second incarnation of a worker")
 def step_second(context):
     history = context.history
     context.first = list(history.living())
-    context.second = begin_again(context)
+    context.second = restart_all(context)
     history.pass_seconds(1.0)
-    context.task = history.hand_in_lasting()
+    context.task = history.submit_long_running()
     context.worker = history.worker_of(context.task)
     assert context.worker in context.second
 
 
-@when("an answer of its first life comes late")
+@when("an answer of its first incarnation comes late")
 def step_stale(context):
     history = context.history
     scheduler = history.leaders[-1].scheduler
     worker = scheduler.workers.get(context.worker.entry.name)
     (first,) = [w for w in context.first if w.entry.name == worker.name]
     ends = (messages.RunEnd(1, context.task, 1, messages.Outcome.FAILED, ""),)
-    look = messages.WorkerReport(first.clock, (), ends, first.entry.born)
+    report = messages.WorkerReport(first.clock, (), ends, first.entry.incarnation)
     sent_at = history.world.clock.now - 4.0
-    context.taken = scheduler.poller.take_in(worker, look, sent_at)
+    context.taken = scheduler.poller.handle_report(worker, report, sent_at)
 
 
-@then("the task runs on, in the second life")
+@then("the task continues in the second incarnation")
 def step_runs_on(context):
     context.history.pass_seconds(3.0)
     assert context.history.worker_of(context.task) is context.worker
     assert len(context.history.world.starts(context.task)) == 1
 
 
-@when("the entry of its first life is written once more")
+@when("the entry of its first incarnation is written once more")
 def step_entry_again(context):
     (first,) = [w for w in context.first if w.entry.name == context.worker.entry.name]
     context.history.world.list(first)
@@ -236,14 +234,14 @@
     assert len(context.history.world.starts(context.task)) == 1
 
 
-@then("nothing was started in a second life")
+@then("nothing was started in a second incarnation")
 def step_nothing(context):
     assert not any(worker.starts for worker in context.second)
 
 
 @then("every job is completed")
 def step_completed(context):
-    states = {job: context.history.state(job) for job in context.history.short}
+    states = {job: context.history.state(job) for job in context.history.short_jobs}
     assert set(states.values()) == {"completed"}, states
 
 
--- a/tests/scheduler/steps/worker_speeds_steps.py
+++ b/tests/scheduler/steps/worker_speeds_steps.py
@@ -8,7 +8,7 @@
 
 SEEDS = range(5)
 WIDTH = 8
-LOOK_INTERVAL = 0.5
+POLL_INTERVAL_S = 0.5
 BEGAN_AT = 100.0
 
 
@@ -18,8 +18,8 @@
     def __init__(self, seed, count, slow, times):
         self.rand = random.Random(seed)
         self.fleet = fleet.Fleet()
-        self.expected = estimates.DurationEstimator()
-        self.speeds = worker_speeds.WorkerSpeeds(self.expected)
+        self.estimator = estimates.DurationEstimator()
+        self.speeds = worker_speeds.WorkerSpeeds(self.estimator)
         self.now = BEGAN_AT
         self.slow = {f"w{number}" for number in range(slow)}
         self.times = times
@@ -31,8 +31,8 @@
             worker.record_contact(0, self.now)
             worker.contacted = True
 
-    def begin(self):
-        """Begin the next job, a task each on workers drawn by lot."""
+    def start_job(self):
+        """Start the next job, with each task on a random worker."""
         self.jobs += 1
         seconds = self.rand.uniform(0.5, 3.0)
         declared = seconds * self.rand.lognormvariate(0, 0.7)
@@ -42,25 +42,25 @@
             worker = self.rand.choice(list(self.fleet))
             task.phase, task.run, task.worker = progress.Phase.RUNNING, 1, worker.name
             task.started_at, task.from_beginning = self.now, True
-            taken = seconds * self.rand.lognormvariate(0, 0.26)
-            taken *= self.times if worker.name in self.slow else 1
-            self.running.append((task, worker, taken))
+            duration = seconds * self.rand.lognormvariate(0, 0.26)
+            duration *= self.times if worker.name in self.slow else 1
+            self.running.append((task, worker, duration))
 
-    def look(self):
+    def poll(self):
         while len(self.running) < 4 * len(self.fleet):
-            self.begin()
-        for task, worker, taken in list(self.running):
-            passed = self.now - task.started_at
-            if passed >= taken:
-                self.running.remove((task, worker, taken))
-                self.expected.record(task, taken)
+            self.start_job()
+        for task, worker, duration in list(self.running):
+            elapsed = self.now - task.started_at
+            if elapsed >= duration:
+                self.running.remove((task, worker, duration))
+                self.estimator.record(task, duration)
                 continue
-            percent = int(100 * passed / taken)
+            percent = int(100 * elapsed / duration)
             row = messages.RunningTask(task.name, 1, "", percent)
             self.speeds.record(worker, task, row, self.now)
-        self.now += LOOK_INTERVAL
+        self.now += POLL_INTERVAL_S
 
-    def found(self):
+    def detected(self):
         return worker_speeds.slow_workers(self.fleet, self.now)
 
 
@@ -69,14 +69,14 @@
     context.replays = [Replay(seed, count, slow, times) for seed in SEEDS]
 
 
-@when("they are looked at for {seconds:d} s")
+@when("they are polled for {seconds:d} s")
 def looked_at(context, seconds):
     for replay in context.replays:
-        for _ in range(int(seconds / LOOK_INTERVAL)):
-            replay.look()
+        for _ in range(int(seconds / POLL_INTERVAL_S)):
+            replay.poll()
 
 
-@when("{seconds:d} s pass without a look")
+@when("{seconds:d} s pass without a poll")
 def unseen(context, seconds):
     for replay in context.replays:
         replay.now += seconds
@@ -84,18 +84,18 @@
 
 @then("at least {least:d} of the slow ones of 5 seeds get no short tasks")
 def found_least(context, least):
-    counts = [len(replay.found() & replay.slow) for replay in context.replays]
+    counts = [len(replay.detected() & replay.slow) for replay in context.replays]
     assert sum(counts) >= least, counts
 
 
 @then("all workers get short tasks on each of 5 seeds")
 def found_none(context):
-    assert not any(replay.found() for replay in context.replays)
+    assert not any(replay.detected() for replay in context.replays)
 
 
-@then("no more than {most:d} fair ones are taken for slow on any seed")
+@then("no more than {most:d} normal ones are taken for slow on any seed")
 def found_wrong(context, most):
-    counts = [len(replay.found() - replay.slow) for replay in context.replays]
+    counts = [len(replay.detected() - replay.slow) for replay in context.replays]
     assert max(counts) <= most, counts
 
 
