--- a/src/mangosail/intake/job_service.py
+++ b/src/mangosail/intake/job_service.py
@@ -193,7 +193,7 @@
             if row is None:
                 continue
             if key == keys.state(job_id):
-                return result.Ok(progress.decode_record(row.value).state)
+                return result.Ok(progress.decode(row.value).state)
             return result.Ok(messages.State.QUEUED)
         return result.Err(errors.UnknownJob())
 
--- a/src/mangosail/scheduler/commits.py
+++ b/src/mangosail/scheduler/commits.py
@@ -1,9 +1,9 @@
-"""Committing where answers get lost: the store itself says what became of a write.
+"""Commits whose outcome is read back from the store if the answer is late.
 
-A lost answer would otherwise be noticed by the client's own time limit alone, which
-has to be long, as the store may be slow. A reading takes a third of a commit's time::
+Otherwise only the client's time-out would reveal a lost answer, and it has to be long
+because the store may be slow. A read takes a third of the time of a commit::
 
-    attempts = commits.Attempts(rows, transaction, landed, clock)
+    attempts = commits.Attempts(rows, transaction, find_committed, clock)
     done = attempts.once()
 """
 
@@ -16,63 +16,67 @@
 from mangosail.platform import errors as store_errors
 from mangosail.platform import table
 
-#: Seconds after which an answer is late: several times what a commit takes.
+#: Seconds after which a commit counts as late: several times its usual duration.
 ANSWER_TIMEOUT_S = 0.25
-#: How many times the time of a reading a commit may take: twice what a slow store
-#: was seen to need.
-READINGS = 6.0
+#: Longest expected duration of a commit in multiples of a read: twice the ratio
+#: observed on a slow store.
+COMMIT_TO_READ_RATIO = 6.0
 
-#: Readings until a write is given up: after the usual time, and after a slow store's.
-LOOKS = 2
+#: Reads of the outcome before an attempt ends as `Uncertain`: one after the usual
+#: time of a commit, one after that of a slow store.
+MAX_OUTCOME_READS = 2
 
-#: Says which version a write that took effect got; None if it has not, or not yet.
-Landed = cabc.Callable[[], int | None]
+#: Returns the version of the write if it took effect; None if it has not, or not yet.
+FindCommitted = cabc.Callable[[], int | None]
 
 
 class Attempts:
-    """Attempts at one transaction, made one after the other until it is decided."""
+    """Sequential attempts at one transaction, until its outcome is known."""
 
     def __init__(
         self,
         rows: table.Table,
         transaction: table.Transaction,
-        landed: Landed,
+        find_committed: FindCommitted,
         clock: clocks.Clock,
     ) -> None:
         self.rows = rows
         self.transaction = transaction
-        self.landed = landed
+        self.find_committed = find_committed
         self.clock = clock
-        #: Calls that were made; those without an answer may be on their way.
+        #: Calls made so far; unanswered ones may still reach the store.
         self.calls: list[gevent.Greenlet] = []
 
     def try_commit(self) -> result.Result[int, store_errors.CommitError]:
-        """Commit once; if the answer is late, find out whether it took effect.
+        """Commit once; if the answer is late, read whether the write took effect.
 
-        Returns `Uncertain` once the answer is later than a store as slow as its
-        readings would be. What was sent may take effect later, so the next attempt has
-        to carry the same checks.
+        Returns `Uncertain` if the answer is later than the duration of the reads
+        explains. The write may still take effect after that, so the next attempt must
+        carry the same checks.
         """
-        done = self._once()
-        if isinstance(done, result.Ok) or isinstance(
-            done.err_value, store_errors.Conflict
+        outcome = self._try_commit()
+        if isinstance(outcome, result.Ok) or isinstance(
+            outcome.err_value, store_errors.Conflict
         ):
-            # None of the others can take effect any more. On a narrow link they took
-            # what the next transaction needed, which was late for it in its turn.
+            # No other attempt can take effect any more. Left running on a slow link,
+            # they use the bandwidth of the next transaction and make it late too.
             gevent.killall(self.calls, block=False)
-        return done
+        return outcome
 
-    def _once(self) -> result.Result[int, store_errors.CommitError]:
+    def _try_commit(self) -> result.Result[int, store_errors.CommitError]:
         call = gevent.spawn(self.rows.commit, self.transaction)
         self.calls.append(call)
-        term = ANSWER_TIMEOUT_S
-        for _ in range(LOOKS):
-            call.join(term)
+        timeout = ANSWER_TIMEOUT_S
+        for _ in range(MAX_OUTCOME_READS):
+            call.join(timeout)
             if call.ready():
                 return call.get()
-            asked_at = self.clock.elapsed()
-            version = self.landed()
+            read_at = self.clock.elapsed()
+            version = self.find_committed()
             if version is not None:
                 return result.Ok(version)
-            term = max(ANSWER_TIMEOUT_S, READINGS * (self.clock.elapsed() - asked_at))
+            timeout = max(
+                ANSWER_TIMEOUT_S,
+                COMMIT_TO_READ_RATIO * (self.clock.elapsed() - read_at),
+            )
         return result.Err(store_errors.Uncertain("late"))
--- a/src/mangosail/scheduler/errors.py
+++ b/src/mangosail/scheduler/errors.py
@@ -1,17 +1,17 @@
-"""What can go wrong between the scheduler and workers, and for its leadership."""
+"""Errors of orders to workers, of worker entries and of the leadership."""
 
 import dataclasses
 import enum
 
 
 class Reason(enum.StrEnum):
-    """Why a worker rejected an order."""
+    """Reason for which a worker rejected an order."""
 
     #: It has seen a higher fencing token.
     FENCED = "fenced"
-    #: The run is not higher than one that was stopped or ended there.
+    #: The run number is not higher than that of a run that was stopped or ended there.
     SUPERSEDED = "superseded"
-    #: The order came after its deadline.
+    #: The order arrived after its deadline.
     EXPIRED = "expired"
     NO_ROOM = "no_room"
     #: The ticket of the advice service is missing or no longer valid.
@@ -21,7 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The worker did nothing; `clock` is its own in ms, or None if it gave none."""
+    """The worker did not carry out the order.
+
+    `clock` is the worker's clock in ms, or None if the answer had none.
+    """
 
     reason: Reason
     clock: int | None = None
@@ -29,46 +32,46 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unwell:
-    """The worker says that it is not healthy; it did nothing."""
+    """The worker reported itself unhealthy and did not carry out the order."""
 
     status: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replaced:
-    """Another life of the worker answers at the address: the earlier one is over."""
+    """Another incarnation answers at the address: the earlier one has ended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Silent:
-    """No answer came; the order may have been carried out, now or later."""
+    """No answer came; the order may have been carried out, or may still be."""
 
     reason: str
 
 
-#: Everything that an order to a worker can fail with.
+#: All failures of an order to a worker.
 OrderError = Rejected | Unwell | Replaced | Silent
 
 
 class Fault(enum.StrEnum):
-    """What is wrong with what stands in a worker's entry."""
+    """Defect of a worker's entry."""
 
-    #: No entry at all: bytes of another kind, fields that are missing or mistyped.
+    #: Not decodable: another format, or fields that are missing or of a wrong type.
     UNREADABLE = "unreadable"
     NAME = "name"
     ADDRESS = "address"
     CAPACITY = "capacity"
     STATE = "state"
-    #: No pool of that name is in the configuration in force.
+    #: The current configuration has no pool of that name.
     SERVICE = "service"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BadEntry:
-    """An entry that names no worker to use."""
+    """An entry that does not describe a usable worker."""
 
     fault: Fault
 
 
 class DeposedError(Exception):
-    """Another instance leads: this one must not decide anything any more."""
+    """Another instance leads, so this one must not make any more decisions."""
--- a/src/mangosail/scheduler/fleet.py
+++ b/src/mangosail/scheduler/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as their leader knows them: what they hold, when they were heard."""
+"""The leader's view of the workers: reserved resources, leases and last contact."""
 
 import collections.abc as cabc
 import enum
@@ -7,23 +7,24 @@
 from mangosail import resources
 from mangosail.scheduler import messages, progress
 
-#: Share by which a worker's clock may be slower than ours, and a little more.
+#: Share by which a worker's clock may run slower than ours, with a small margin.
 MAX_CLOCK_DRIFT = 0.025
-#: Milliseconds after a lease's end within which its runs are surely killed.
+#: Milliseconds after the end of a lease by which its runs have been killed.
 KILL_MARGIN_MS = 250.0
-#: Seconds around a suspect's start in which nothing else begins on its worker.
+#: Seconds before and after the start of a suspect task in which nothing else starts on
+#: its worker, so that a crash can be attributed to it.
 ISOLATED_START_S = 0.3
-#: Share of its processors that a latency-critical task uses in the mean, for the room
-#: that it leaves to best-effort tasks.
-LATENCY_CRITICAL_USE = 0.5
+#: Assumed mean utilization of the cores that a latency-critical task reserves; the
+#: rest is available to best-effort tasks.
+LATENCY_CRITICAL_UTILIZATION = 0.5
 
 
-#: Returns the data centres whose workers may be sent nothing more.
+#: Returns the data centres whose workers must not receive new tasks.
 ClosedDataCentres = cabc.Callable[[], frozenset[str]]
 
 
 class IncarnationOrder(enum.Enum):
-    """Which life of a worker an answer comes from, seen from the one that is known."""
+    """Incarnation that a report comes from, relative to the one that is known."""
 
     EARLIER = "earlier"
     CURRENT = "present"
@@ -31,12 +32,12 @@
 
 
 def same_incarnation(first: int | None, second: int | None) -> bool:
-    """Tell whether two births may be the same; None is one that was not told."""
+    """Return whether two incarnations may be the same; None is one not reported."""
     return first is None or second is None or first == second
 
 
 class Worker:
-    """One life of a worker, and what runs there as far as the leader knows."""
+    """One incarnation of a worker, and the runs that may exist there."""
 
     def __init__(
         self,
@@ -47,78 +48,81 @@
         self.entry = entry
         self.change_numbers = change_numbers
         self.closed_data_centres = closed_data_centres
-        #: Number of its latest change that may have made room; of all workers' changes
-        #: the later one has the higher number.
+        #: Number of the latest change that may have freed resources. Numbers increase
+        #: across all workers.
         self.last_change = next(self.change_numbers)
         self.name = entry.name
-        #: When this life began, as the worker tells it; None if it doesn't say.
+        #: Start of this incarnation as the worker reports it; None if it does not.
         self.incarnation = entry.incarnation
-        #: When earlier lives under this name began.
+        #: Starts of earlier incarnations under the same name.
         self.earlier_incarnations: frozenset[int] = frozenset()
-        #: Elapsed time at which this life was first heard of.
+        #: Elapsed time at which this incarnation was first known.
         self.discovered_at = 0.0
-        #: The newest entry that tells of another life, earlier or later.
+        #: The newest entry of another incarnation, earlier or later.
         self.conflicting_entry: messages.WorkerEntry | None = None
-        #: The latest suspect that was placed there, beside which nothing may begin.
+        #: The latest suspect task placed there; nothing may start beside it.
         self.isolated_suspect: progress.Task | None = None
-        #: Elapsed time until which orders to an earlier life may be carried out here,
-        #: and the longest lease in seconds that they can bring.
+        #: Elapsed time until which orders to an earlier incarnation may still be
+        #: carried out here, and the longest lease in seconds that they can grant.
         self.stray_orders_until = 0.0
         self.max_stray_lease = 0.0
-        #: Runs that may exist there, by the name of their task.
+        #: Tasks that may have a run there, by name.
         self.tasks: dict[str, progress.Task] = {}
         self.free = entry.capacity
-        #: Cores that best-effort tasks may use, as far as is known.
+        #: Estimated cores that are idle and usable by best-effort tasks.
         self.idle_cpus = entry.capacity.cpus
-        #: Continuous tasks that are not best-effort, and best-effort ones, by count.
+        #: Number of continuous tasks that are not best-effort, and of best-effort ones.
         self.latency_critical_count = 0
         self.best_effort_count = 0
-        #: The worker's clock in ms when it was last heard, and our elapsed time.
+        #: The worker's clock in ms at the last contact, and the elapsed time of that.
         self.clock = 0.0
         self.last_contact_at = 0.0
-        #: Latest end of its lease that was ever sent, in ms on its clock.
+        #: Latest lease deadline that was sent to it, in ms on its clock.
         self.lease_deadline = 0.0
-        #: Elapsed time by which all that an earlier leader started has ended.
+        #: Elapsed time by which all runs that an earlier leader started have ended.
         self.inherited_runs_until = 0.0
-        #: True once it has answered this leader's token.
+        #: True once it has answered a call with this leader's fencing token.
         self.contacted = False
         self.reachable = False
-        #: Elapsed time until which nothing is placed there.
+        #: Elapsed time before which nothing is placed there.
         self.avoid_until = 0.0
-        #: Number of the latest end taken in, and of the latest that is durable.
+        #: Number of the latest end that was processed, and of the latest durable one.
         self.last_end_seen = 0
         self.last_end_acknowledged = 0
-        #: True once the platform no longer lists it.
+        #: True while the platform does not list it.
         self.unlisted = False
         self.removed = False
-        #: Logarithm of its speed against the others', and when that was last noted.
+        #: Logarithm of its speed relative to the others, and when it was updated.
         self.log_speed = 0.0
         self.speed_updated_at = 0.0
-        #: Best-effort images at the last look, and when speeds were last changed.
+        #: Best-effort images at the last poll, and when a run was last throttled.
         self.best_effort_images: frozenset[str] = frozenset()
         self.throttled_at = 0.0
 
     @property
     def entry_is_current(self) -> bool:
-        """Tell whether the entry is this life's: another may have other capacity."""
+        """Return whether the entry may describe this incarnation.
+
+        Another incarnation may have a different capacity.
+        """
         return same_incarnation(self.entry.incarnation, self.incarnation)
 
     def classify_report(
         self, report: messages.WorkerReport, sent_at: float
     ) -> IncarnationOrder:
-        """Tell which life has answered a look that was sent at `sent_at`.
+        """Return which incarnation answered a poll that was sent at `sent_at`.
 
-        Births are not in order, as clocks of day jump. But an answer to what was sent
-        after this life was heard of can't come from an earlier one; and no life's own
-        clock runs back.
+        Start times of incarnations are not ordered, as the wall clock may jump. But an
+        answer to a poll sent after this incarnation was discovered can't come from an
+        earlier one, and the clock of one incarnation never goes back.
         """
         if report.incarnation in self.earlier_incarnations:
             return IncarnationOrder.EARLIER
         if same_incarnation(report.incarnation, self.incarnation):
-            unborn = report.incarnation is None or self.incarnation is None
+            unreported = report.incarnation is None or self.incarnation is None
             return (
                 IncarnationOrder.LATER
-                if unborn and self.runs_back(report, sent_at)
+                if unreported and self.clock_went_back(report, sent_at)
                 else IncarnationOrder.CURRENT
             )
         return (
@@ -127,12 +131,12 @@
             else IncarnationOrder.EARLIER
         )
 
-    def runs_back(self, report: messages.WorkerReport, sent_at: float) -> bool:
-        """Tell whether the worker's clock shows less than before the look was sent."""
+    def clock_went_back(self, report: messages.WorkerReport, sent_at: float) -> bool:
+        """Return whether the clock is behind what it was before the poll was sent."""
         return sent_at >= self.last_contact_at and report.clock < self.clock
 
     def update_entry(self, entry: messages.WorkerEntry) -> None:
-        """Take in what the worker says of itself now; its capacity may have changed."""
+        """Replace the entry, and adjust free resources if the capacity changed."""
         before, self.entry = self.entry, entry
         if entry.capacity == before.capacity:
             return
@@ -142,35 +146,35 @@
 
     @property
     def overcommitted(self) -> bool:
-        """Tell whether more is set aside there than the worker has."""
+        """Return whether more is reserved than the worker's capacity."""
         return not resources.Resources().fits_in(self.free)
 
     def record_contact(self, clock: int, now: float) -> None:
-        """Take in the worker's clock as it stood at the elapsed time `now`."""
+        """Record an answer: the worker's clock showed `clock` at elapsed time `now`."""
         self.clock = float(clock)
         self.last_contact_at = now
         self.reachable = True
         self.last_change = next(self.change_numbers)
 
     def clock_at(self, now: float) -> float:
-        """Return what the worker's clock shows at elapsed time `now`, in ms."""
+        """Return the estimated worker clock at elapsed time `now`, in ms."""
         return self.clock + (now - self.last_contact_at) * 1000
 
     def lease_expired(self, now: float) -> bool:
-        """Tell whether its lease has surely run out, though its clock be slow."""
+        """Return whether its lease has expired even if its clock runs slow."""
         if not self.last_contact_at:
             return now > self.inherited_runs_until
         passed = (now - self.last_contact_at) * 1000 * (1 - MAX_CLOCK_DRIFT)
-        over = self.clock + passed > self.lease_deadline + KILL_MARGIN_MS
+        expired = self.clock + passed > self.lease_deadline + KILL_MARGIN_MS
         if (
             self.stray_orders_until
             and now < self.stray_orders_until + self.max_stray_lease
         ):
             return False
-        return over and (self.contacted or now > self.inherited_runs_until)
+        return expired and (self.contacted or now > self.inherited_runs_until)
 
     def usable(self, now: float) -> bool:
-        """Tell whether new tasks may be placed there."""
+        """Return whether new tasks may be placed there."""
         return (
             self.contacted
             and self.reachable
@@ -180,28 +184,28 @@
             and (self.entry.incarnation == self.incarnation or self.entry_is_current)
             and (
                 self.isolated_suspect is None
-                or not just_begun(self.isolated_suspect, now)
+                or not recently_started(self.isolated_suspect, now)
             )
             and self.entry.data_centre not in self.closed_data_centres()
             and now >= self.avoid_until
         )
 
     def no_recent_start(self, now: float) -> bool:
-        """Tell whether nothing has just begun there."""
-        return not any(just_begun(task, now) for task in self.tasks.values())
+        """Return whether no task was started there recently."""
+        return not any(recently_started(task, now) for task in self.tasks.values())
 
     @property
     def busy(self) -> bool:
-        """Tell whether something may run there, or an end there is not durable yet."""
+        """Return whether a run may exist there, or an end is not durable yet."""
         return bool(self.tasks) or self.last_end_seen > self.last_end_acknowledged
 
     @property
     def runs_finite_tasks(self) -> bool:
-        """Tell whether tasks that end by themselves may run there."""
+        """Return whether tasks that end on their own may run there."""
         return len(self.tasks) > self.latency_critical_count
 
     def reserve(self, task: progress.Task) -> None:
-        """Set the room of a task aside until `release`."""
+        """Reserve the resources of a task until `release`."""
         if task.name in self.tasks:
             return
         self.tasks[task.name] = task
@@ -212,7 +216,7 @@
         self.best_effort_count += step.best_effort
 
     def release(self, task: progress.Task) -> None:
-        """Give the room of a task back."""
+        """Release the resources reserved for a task."""
         if self.tasks.pop(task.name, None) is None:
             return
         if task is self.isolated_suspect:
@@ -225,12 +229,12 @@
         self.last_change = next(self.change_numbers)
 
     def count_of_step(self, step_run: progress.StepRun) -> int:
-        """Return how many tasks of a step may run there."""
+        """Return how many tasks of a step may have a run there."""
         return sum(task.step_run is step_run for task in self.tasks.values())
 
 
-def just_begun(task: progress.Task, now: float) -> bool:
-    """Tell whether a task's start is on its way, or was sent a moment ago."""
+def recently_started(task: progress.Task, now: float) -> bool:
+    """Return whether a task's start is pending or was sent a moment ago."""
     if task.phase is progress.Phase.STARTING:
         return True
     return (
@@ -239,7 +243,7 @@
 
 
 def reserved_resources(step: messages.Step) -> resources.Resources:
-    """Return what a task of the step takes of a worker's capacity."""
+    """Return the capacity that a task of the step reserves on a worker."""
     if not step.best_effort:
         return step.need
     need = step.need
@@ -247,14 +251,14 @@
 
 
 def expected_cpus(step: messages.Step) -> float:
-    """Return the cores that a task of the step uses, as a guess."""
+    """Return the cores that a task of the step is expected to use."""
     if step.continuous and not step.best_effort:
-        return step.need.cpus * LATENCY_CRITICAL_USE
+        return step.need.cpus * LATENCY_CRITICAL_UTILIZATION
     return step.need.cpus
 
 
 class Fleet:
-    """All workers by name."""
+    """All known workers, by name."""
 
     def __init__(self, closed_data_centres: ClosedDataCentres = frozenset) -> None:
         self.workers: dict[str, Worker] = {}
@@ -268,17 +272,17 @@
         return len(self.workers)
 
     def get(self, name: str) -> Worker | None:
-        """Return a worker, or None if it is not known."""
+        """Return a worker by name, or None if it is not known."""
         return self.workers.get(name)
 
     def add(self, entry: messages.WorkerEntry) -> Worker:
-        """Begin to know a worker."""
+        """Add a worker from its entry."""
         worker = Worker(entry, self.change_numbers, self.closed_data_centres)
         self.workers[entry.name] = worker
         return worker
 
     def remove(self, worker: Worker) -> None:
-        """Forget a worker whose life is over."""
+        """Remove a worker."""
         worker.removed = True
         if self.workers.get(worker.name) is worker:
             del self.workers[worker.name]
@@ -286,21 +290,21 @@
     def replace_incarnation(
         self, worker: Worker, incarnation: int | None, now: float
     ) -> Worker:
-        """Begin to know the next life of a worker, of which nothing is known yet."""
+        """Replace a worker by its next incarnation, which starts without state."""
         self.remove(worker)
-        other = worker.conflicting_entry
+        conflicting = worker.conflicting_entry
         entry = (
-            other
-            if other is not None and other.incarnation == incarnation
+            conflicting
+            if conflicting is not None and conflicting.incarnation == incarnation
             else worker.entry
         )
-        later = self.add(entry)
-        later.incarnation = incarnation
-        later.discovered_at = now
-        later.unlisted = worker.unlisted
-        later.inherited_runs_until = worker.inherited_runs_until
+        successor = self.add(entry)
+        successor.incarnation = incarnation
+        successor.discovered_at = now
+        successor.unlisted = worker.unlisted
+        successor.inherited_runs_until = worker.inherited_runs_until
         if worker.incarnation is not None:
-            later.earlier_incarnations = worker.earlier_incarnations | {
+            successor.earlier_incarnations = worker.earlier_incarnations | {
                 worker.incarnation
             }
-        return later
+        return successor
--- a/src/mangosail/scheduler/journal.py
+++ b/src/mangosail/scheduler/journal.py
@@ -1,9 +1,9 @@
-"""The leader's writes: one transaction after the other, each fenced.
+"""Sequential, fenced writes of the leader.
 
 Every transaction checks the row of the lease, and checks and replaces the row
 `CHAIN`. So a transaction of a deposed leader fails, and one whose answer was lost
-cannot take effect after a later one: its link of the chain is no longer the last.
-All jobs that changed meanwhile go into the next transaction::
+cannot take effect after a later one, because its link is no longer the last of the
+chain. Jobs that change during a transaction are batched into the next one::
 
     journal.record(job)
     journal.then(lambda: send(order))
@@ -27,52 +27,51 @@
 
 log = logbook.Logger("journal")
 
-#: Rows that one transaction writes at most; the platform takes 100 entries.
+#: Job rows per transaction at most; the platform accepts 100 entries.
 MAX_TRANSACTION_ROWS = 80
-#: Bytes of rows that one transaction writes, unless one row alone takes more: 75 KB on
-#: the wire, which a link of 5 Mbit/s carries in half of `commits.ANSWER_TIMEOUT_S`.
+#: Bytes of rows per transaction, unless a single row is longer: 75 KB on the wire,
+#: which a link of 5 Mbit/s carries in half of `commits.ANSWER_TIMEOUT_S`.
 MAX_TRANSACTION_BYTES = 50_000
-#: Seconds between renewals of the lease; a third of what standbys wait.
+#: Seconds between renewals of the lease: a third of the lease time-out of standbys.
 RENEWAL_INTERVAL_S = 0.3
-#: Share of the longest time between renewals that still counts at the next one, so that
-#: half of it is forgotten in 4 s.
-INTERVAL_KEPT = 0.95
-#: Renewals of the lease between writes of what is kept now and again.
-EXTRA_RENEWALS = 7
-#: Seconds before a transaction that was refused is sent again.
+#: Decay per renewal of the longest interval between renewals: a half-life of 4 s.
+INTERVAL_DECAY = 0.95
+#: Renewals of the lease per write of the rows that are saved periodically.
+RENEWALS_PER_PERIODIC_WRITE = 7
+#: Seconds before a failed transaction is sent again.
 RETRY_INTERVAL_S = 0.05
-#: Seconds for which further changes are gathered once one waits. A transaction
-#: costs the same for 1 and for 80 rows.
+#: Seconds for which changes are batched into one transaction, which costs the same for
+#: 1 row as for 80.
 BATCH_WINDOW_S = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """The row that says who leads."""
+    """Content of the row that names the leader."""
 
     holder: str
     incarnation: str
-    #: Fencing token; each leader has a higher one.
+    #: Fencing token, higher for each new leader.
     token: int
-    #: Changes with each renewal, so that standbys see the holder live.
+    #: Incremented with each renewal, which shows standbys that the holder is alive.
     renewals: int = 0
-    #: True once the holder has given the lease up.
+    #: True once the holder has released the lease.
     released: bool = False
-    #: Speed of the holder, in cores.
+    #: Processor share of the holder, in cores.
     cores: float = 1.0
-    #: Seconds between the holder's renewals, the longest of late.
+    #: Longest recent interval between the holder's renewals, in seconds.
     interval: float = RENEWAL_INTERVAL_S
-    #: Workers that the holder attends to.
+    #: Number of workers that the holder polls.
     workers: int = 0
-    #: Cores that continuous jobs may take together; None if not known yet.
+    #: Total cores that continuous jobs may reserve; None if not yet known.
     continuous_bound: float | None = None
-    #: Accepted jobs of each queue of which nothing has started.
+    #: Accepted jobs per queue of which no task has started.
     pending: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldLease:
-    """The lease as it was taken, and the versions of the rows behind it."""
+    """The lease that this instance holds, and the versions of its rows."""
 
     lease: Lease
     lease_version: int
@@ -81,14 +80,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingCallback:
-    """A callback, and how many of the jobs that wait longest it waits for."""
+    """A callback that is due once the first `jobs` unwritten jobs are durable."""
 
     callback: cabc.Callable[[], None]
     jobs: int
 
 
 class Journal:
-    """Writes what must last, in order, for as long as this instance leads."""
+    """Writes job progress and the lease, in order, while this instance leads."""
 
     def __init__(
         self,
@@ -101,24 +100,24 @@
         self.held = held
         self.clock = clock
         self.counters = counters
-        #: Return what the lease's row tells all instances.
+        #: Return values that the lease row publishes to all instances.
         self.pending_counts: cabc.Callable[[], dict[str, int]] = dict
         self.worker_count: cabc.Callable[[], int] = lambda: 0
         self.continuous_bound: cabc.Callable[[], float | None] = lambda: None
-        #: Returns rows that are kept now and again, with a renewal of the lease.
+        #: Returns rows to save periodically, along with a renewal of the lease.
         self.periodic_writes: cabc.Callable[[], tuple[table.Write, ...]] = tuple
-        #: Jobs to write, the one that has waited longest first.
+        #: Jobs to write, the one that has been waiting longest first.
         self.unwritten_jobs: dict[str, progress.JobProgress] = {}
         self.pending_callbacks: list[PendingCallback] = []
         self.write_requested = gevent.event.Event()
-        self.links = 0
+        self.link_count = 0
         self.renew_at = 0.0
-        #: Elapsed time of the latest renewal, or of the claim.
+        #: Elapsed time of the latest renewal, or of the claim of the lease.
         self.renewed_at = clock.elapsed()
-        #: Elapsed time at which the latest transaction that took effect was sent.
+        #: Elapsed time at which the latest committed transaction was sent.
         self.confirmed_at = clock.elapsed()
         self.deposed = False
-        #: True once the lease is to be given up.
+        #: True once the lease is to be released.
         self.releasing = False
 
     @property
@@ -127,19 +126,19 @@
         return self.held.lease.token
 
     def record(self, job: progress.JobProgress) -> None:
-        """Write the job's progress with the next transaction."""
+        """Mark the job's progress to be written."""
         self.unwritten_jobs[job.job.job_id] = job
         self.write_requested.set()
 
     def when_durable(self, callback: cabc.Callable[[], None]) -> None:
-        """Call back once all that was recorded so far is durable."""
+        """Call `callback` once everything recorded so far is durable."""
         self.pending_callbacks.append(
             PendingCallback(callback, len(self.unwritten_jobs))
         )
         self.write_requested.set()
 
     def run(self) -> None:
-        """Write until another instance leads, or the lease is given up."""
+        """Write until another instance leads or the lease is released."""
         while not self.deposed:
             due = self.renew_at - self.clock.elapsed()
             if not self.write_requested.wait(max(due, 0.0)) and due > 0:
@@ -151,10 +150,10 @@
                 log.warning("no longer leading", token=self.token)
 
     def write(self) -> None:
-        """Write what waits in one transaction, however often it must be sent."""
+        """Write one transaction, sent again until its outcome is known."""
         self.write_requested.clear()
         transaction, jobs = self._next_transaction()
-        callbacks = self._due(jobs)
+        callbacks = self._due_callbacks(jobs)
         version = self._commit(transaction)
         held = self.held
         wrote_lease = any(write.key == keys.LEASE for write in transaction.writes)
@@ -164,7 +163,7 @@
             lease_version=version if wrote_lease else held.lease_version,
         )
         if self.releasing and wrote_lease and not self.unwritten_jobs:
-            log.info("lease given up", token=self.token)
+            log.info("lease released", token=self.token)
             self.deposed = True
             raise errors.DeposedError
         if self.unwritten_jobs:
@@ -173,37 +172,37 @@
             callback()
 
     def release(self) -> None:
-        """Give the lease up with the next transaction, so that another may take it.
+        """Release the lease with the transaction that writes the last recorded job.
 
-        What was recorded goes with it. Without this the next leader would wait
-        until the lease is old.
+        Without this the next leader would have to wait until the lease times out.
         """
         self.releasing = True
         self.write_requested.set()
 
     def _take_job_writes(self, max_bytes: int) -> list[table.Write]:
-        """Return the writes of the jobs that wait longest, of `most` bytes together.
+        """Return the writes of the oldest unwritten jobs, up to `max_bytes` together.
 
-        One that takes more goes alone. When only rows were counted, a transaction took
-        narrow links longer than a write may take. It was sent again for ever, nothing
-        that had changed was kept, and the lease ran out. What is left goes next.
+        A longer row is written alone; the rest is left for the next transaction. With a
+        limit on the row count only, a transaction could take longer than the write
+        time-out on a slow link. It was then sent again for ever, no progress became
+        durable, and the lease expired.
         """
         writes: list[table.Write] = []
         for job in list(self.unwritten_jobs.values())[:MAX_TRANSACTION_ROWS]:
-            write = write_of(job)
-            max_bytes -= size_of(write)
+            write = progress_write(job)
+            max_bytes -= size_in_bytes(write)
             if writes and max_bytes < 0:
                 break
             writes.append(write)
             del self.unwritten_jobs[job.job.job_id]
         return writes
 
-    def _due(self, written: int) -> list[cabc.Callable[[], None]]:
-        """Return what waits for no more than the next `written` jobs.
+    def _due_callbacks(self, written: int) -> list[cabc.Callable[[], None]]:
+        """Return the callbacks that are due once the next `written` jobs are durable.
 
-        What changes while a transaction is on its way holds back nothing that was
-        recorded before: when callbacks waited until no change was left, starts
-        came 3 s late where changes never ceased.
+        Changes made during a transaction do not delay callbacks of earlier ones. When
+        callbacks waited until no change was left, starts were 3 s late under a steady
+        stream of changes.
         """
         due = [each.callback for each in self.pending_callbacks if each.jobs <= written]
         self.pending_callbacks = [
@@ -214,16 +213,18 @@
         return due
 
     def _next_transaction(self) -> tuple[table.Transaction, int]:
-        """Return the next transaction, and how many jobs it writes."""
+        """Return the next transaction and the number of jobs that it writes."""
         held = self.held
-        self.links += 1
-        writes = [table.Write(keys.CHAIN, self._link())]
+        self.link_count += 1
+        writes = [table.Write(keys.CHAIN, self._chain_link())]
         renews = self.clock.elapsed() >= self.renew_at or self.releasing
         if renews:
             writes += self._renewal_writes()
-        jobs = self._take_job_writes(MAX_TRANSACTION_BYTES - sum(map(size_of, writes)))
+        jobs = self._take_job_writes(
+            MAX_TRANSACTION_BYTES - sum(map(size_in_bytes, writes))
+        )
         if renews and self.releasing and not self.unwritten_jobs:
-            writes[-1] = self._write_lease(released=True)
+            writes[-1] = self._lease_write(released=True)
         checks = (
             table.Check(keys.LEASE, held.lease_version),
             table.Check(keys.CHAIN, held.chain_version),
@@ -231,15 +232,19 @@
         return table.Transaction(checks, (*writes, *jobs)), len(jobs)
 
     def _renewal_writes(self) -> list[table.Write]:
-        """Return what a renewal of the lease writes, the lease last."""
+        """Return the writes of a lease renewal, the lease row last."""
         renewals = self.held.lease.renewals + 1
         now = self.clock.elapsed()
         passed, self.renewed_at = now - self.renewed_at, now
         self.renew_at = now + RENEWAL_INTERVAL_S
-        extra = self.periodic_writes() if renewals % EXTRA_RENEWALS == 0 else ()
-        lease = self._write_lease(
+        extra = (
+            self.periodic_writes()
+            if renewals % RENEWALS_PER_PERIODIC_WRITE == 0
+            else ()
+        )
+        lease = self._lease_write(
             renewals=renewals,
-            interval=self._interval(passed),
+            interval=self._recent_interval(passed),
             workers=self.worker_count(),
             pending=self.pending_counts(),
             continuous_bound=self.continuous_bound(),
@@ -247,19 +252,19 @@
         )
         return [*extra, lease]
 
-    def _interval(self, passed: float) -> float:
-        """Return the longest time between renewals of late, `passed` being the last."""
-        kept = INTERVAL_KEPT * self.held.lease.interval
-        return round(max(passed, kept, RENEWAL_INTERVAL_S), 3)
+    def _recent_interval(self, passed: float) -> float:
+        """Return the longest recent renewal interval; `passed` is the latest one."""
+        decayed = INTERVAL_DECAY * self.held.lease.interval
+        return round(max(passed, decayed, RENEWAL_INTERVAL_S), 3)
 
-    def _write_lease(self, **facts: t.Any) -> table.Write:
-        """Return the write of the lease, changed in these facts."""
+    def _lease_write(self, **facts: t.Any) -> table.Write:
+        """Return the write of the lease with these fields changed."""
         lease = dataclasses.replace(self.held.lease, **facts)
         self.held = dataclasses.replace(self.held, lease=lease)
         return table.Write(keys.LEASE, codec.to_json(lease))
 
-    def _link(self) -> str:
-        return codec.to_json(f"{self.token}.{self.links}")
+    def _chain_link(self) -> str:
+        return codec.to_json(f"{self.token}.{self.link_count}")
 
     def _commit(self, transaction: table.Transaction) -> int:
         attempts = commits.Attempts(
@@ -269,63 +274,63 @@
             if self.deposed:
                 raise errors.DeposedError
             sent_at = self.clock.elapsed()
-            done = attempts.try_commit()
+            outcome = attempts.try_commit()
             self.counters.time("journal.commit", self.clock.elapsed() - sent_at)
-            if isinstance(done, result.Ok):
+            if isinstance(outcome, result.Ok):
                 self.confirmed_at = sent_at
-                return done.ok_value
-            if isinstance(done.err_value, store_errors.Conflict):
-                version = self._resolve()
+                return outcome.ok_value
+            if isinstance(outcome.err_value, store_errors.Conflict):
+                version = self._resolve_conflict()
                 if version is not None:
                     self.confirmed_at = sent_at
                     return version
-            reason = type(done.err_value).__name__.lower()
+            reason = type(outcome.err_value).__name__.lower()
             self.counters.count(f"journal.retry.{reason}")
             self.clock.sleep(RETRY_INTERVAL_S)
 
     def _committed_version(self) -> int | None:
-        """Return the version of our link if it is the chain's last, None if not."""
-        found = link_version(self.rows, self._link())
+        """Return the version of our link if it is the last of the chain, else None."""
+        found = link_version(self.rows, self._chain_link())
         if isinstance(found, result.Err) or found.ok_value is None:
             return None
         self.counters.count("journal.answer_recovered")
         return found.ok_value
 
-    def _resolve(self) -> int | None:
-        """Tell a lost answer from a lost lease after a conflict.
+    def _resolve_conflict(self) -> int | None:
+        """Find out after a conflict whether the answer or the lease was lost.
 
-        Returns the version that our transaction got, or None if the rows can't be
-        read now.
+        Returns the version of our transaction if it was committed, or None if the rows
+        can't be read now. Raises `DeposedError` if another instance leads.
         """
-        found = link_version(self.rows, self._link())
+        found = link_version(self.rows, self._chain_link())
         if isinstance(found, result.Err):
             return None
         if found.ok_value is not None:
             self.counters.count("journal.answer_recovered")
             return found.ok_value
         self.deposed = True
-        log.warning("deposed", token=self.token)
+        log.warning("lease lost to another leader", token=self.token)
         raise errors.DeposedError
 
 
-def write_of(job: progress.JobProgress) -> table.Write:
-    """Return the write that keeps a job's progress."""
+def progress_write(job: progress.JobProgress) -> table.Write:
+    """Return the write of a job's progress record."""
     return table.Write(keys.state(job.job.job_id), progress.encode_job(job))
 
 
-def size_of(write: table.Write) -> int:
-    """Return how many bytes a row takes."""
+def size_in_bytes(write: table.Write) -> int:
+    """Return the length in bytes of the value that is written."""
     return len((write.value or "").encode())
 
 
 def claim_lease(
     rows: table.Table, lease: Lease, link: str, lease_version: int
 ) -> int | None:
-    """Write a new leader's rows over those that were read; None if that failed.
+    """Write the rows of a new leader; return their version, or None on failure.
 
-    Replacing the chain makes a transaction of the earlier leader that is still on
-    its way fail. Its version is not checked: a live leader replaces it with each
-    transaction, and no claim would ever succeed against one.
+    Replacing the chain makes transactions of the earlier leader that are still in
+    flight fail. The version of the chain is not checked: a live leader replaces it with
+    each transaction, so that a claim against one would never succeed.
     """
     transaction = table.Transaction(
         (table.Check(keys.LEASE, lease_version),),
@@ -344,7 +349,7 @@
 def link_version(
     rows: table.Table, link: str
 ) -> result.Result[int | None, store_errors.Unavailable]:
-    """Return the version that `link` got, or None if another is the chain's last."""
+    """Return the version of `link`, or None if another link is the chain's last."""
     found = rows.read([keys.CHAIN])
     if isinstance(found, result.Err):
         return found
--- a/src/mangosail/scheduler/keys.py
+++ b/src/mangosail/scheduler/keys.py
@@ -1,66 +1,69 @@
-"""Names of the rows in which the scheduler keeps what must last.
+"""Keys of the scheduler's durable rows.
 
-A key's first part is the kind of row, its second the shard. Rows of one shard are
-changed together in one transaction, one after the other; those of different shards
-at the same time. So what callers hand in goes to many shards and never waits for
-the leader's own writes: with a slow store one shard took two transactions a second
-and refused the rest.
+The first part of a key is the kind of row, the second the shard. Transactions of one
+shard are committed one after the other, those of different shards in parallel. Jobs
+that callers submit are therefore spread over many shards and never wait for the
+leader's own writes: on a slow store one shard committed two transactions a second and
+refused the rest.
 """
 
 #: The leader's shard: its lease, the states of all jobs, and the continuous jobs.
 SHARD = "s0"
 
-#: Rows of jobs as they were handed in, and of requests to cancel them.
+#: Rows of submitted jobs and of cancellation requests.
 JOBS = "job/"
-#: Rows of what has become of each job.
+#: Rows of the progress of each job.
 STATES = f"state/{SHARD}/"
-#: Rows that say who leads, and order what the leader writes.
+#: Rows of the lease, and of the chain that orders the leader's writes.
 LEADERSHIP = f"leader/{SHARD}/"
 LEASE = LEADERSHIP + "lease"
 CHAIN = LEADERSHIP + "chain"
-#: Row with what the leader has learned of how images disturb each other.
+#: Row with the learned interference between images.
 LEARNED = LEADERSHIP + "learned"
-#: Rows that say where each instance is reached by the others.
+#: Rows with the addresses at which instances reach each other.
 INSTANCES = f"instance/{SHARD}/"
-#: Row with the room that accepted continuous jobs have taken.
+#: Row with the resources reserved by accepted continuous jobs.
 CONTINUOUS = LEADERSHIP + "continuous"
 
-#: Ends the key of a request to cancel the job that the key begins with.
+#: Appended to a job's key for the row that requests its cancellation.
 CANCEL_SUFFIX = "~"
-#: Text of the row of a job that is over.
+#: Value of the row of a job that has ended.
 ENDED_JOB_TEXT = "null"
 
 
 def job(job_id: str) -> str:
-    """Return the key of the row that holds a job as it was handed in.
+    """Return the key of a submitted job.
 
-    The last digit of its id says in which of 16 shards it is.
+    The last digit of the job's id selects one of 16 shards.
     """
     return f"{JOBS}{job_id[-1].lower()}/{job_id}"
 
 
 def continuous_job(job_id: str) -> str:
-    """Return the key of a continuous job, which is stored with the room it takes."""
+    """Return the key of a continuous job.
+
+    It is in the shard of the row of reserved resources, as both are written together.
+    """
     return f"{JOBS}{SHARD}/{job_id}"
 
 
 def cancellation(job_id: str) -> str:
-    """Return the key of the row that asks for a job to be cancelled."""
+    """Return the key of the cancellation request of a job."""
     return job(job_id) + CANCEL_SUFFIX
 
 
 def state(job_id: str) -> str:
-    """Return the key of the row that holds what has become of a job."""
+    """Return the key of a job's progress record."""
     return STATES + job_id
 
 
 def is_cancellation(key: str) -> bool:
-    """Tell whether the key is that of a request to cancel."""
+    """Return whether the key is that of a cancellation request."""
     return key.endswith(CANCEL_SUFFIX)
 
 
 def job_id(key: str) -> str:
-    """Return the job that a row of jobs or states is about."""
+    """Return the id of the job that a row of jobs or states belongs to."""
     return key.rpartition("/")[2].removesuffix(CANCEL_SUFFIX)
 
 
--- a/src/mangosail/scheduler/leadership.py
+++ b/src/mangosail/scheduler/leadership.py
@@ -1,11 +1,11 @@
-"""Which instance leads: a lease in one row, watched by those who stand by.
+"""Leader election by a lease in one row, which standbys check regularly.
 
-Safety rests on the fencing token alone, at the store and at the workers; the lease
-only keeps instances from deposing each other without need. A standby judges the
-holder by how long the row has not changed on its own clock, so no clocks agree.
+Safety depends only on the fencing token, which the store and the workers check; the
+lease merely avoids needless leader changes. A standby measures on its own clock for
+how long the row has not changed, so clocks need not be synchronized.
 
-The fastest instance should lead, as all starts go through the leader: a faster
-standby takes the lease from a slower holder, and a holder that turns slow gives it up.
+All starts go through the leader, so the fastest instance should lead: a faster standby
+takes the lease from a slower holder, and a holder that becomes slow releases it.
 """
 
 import collections.abc as cabc
@@ -22,75 +22,77 @@
 
 log = logbook.Logger("leadership")
 
-#: Seconds without a renewal after which a standby takes the lease: three renewals.
-#: A holder that is deposed too soon costs a takeover of about 0.1 s; a lost one
-#: costs all of this.
+#: Seconds without a renewal after which a standby takes the lease: three renewal
+#: intervals. Deposing a live holder costs a takeover of about 0.1 s, while a lost
+#: holder costs this whole time.
 LEASE_TIMEOUT_S = 0.9
-#: The same where the holder's own renewals were further apart of late, in multiples of
-#: that: it lives and has much to do, and its successor would have as much and more.
-MISSED_RENEWALS = 3.0
-#: Seconds that are added for a holder that has just taken over, for each worker that it
-#: attends to with each of its cores: they are all looked at at once, the most that a
-#: leader has to do at a time. And for how many seconds from then on.
-TAKEOVER_TERM = 0.0028
-TAKEOVER_SPAN = 5.0
-#: The same at most, whatever the holder says: with it and a takeover, leases of workers
-#: go on.
-LONGEST_TERM = 2.0
-#: How often the time of a standby's own reading is added: a renewal takes about three
-#: times as long, and where the store is slow it is the store that is late.
-READ_FACTOR = 4.0
-#: Seconds between a standby's looks at the lease, drawn for each instance between
-#: these: a few quick ones are enough, and each look is a call to the store.
-LEAST_WATCH_INTERVAL = 0.3
-MOST_WATCH_INTERVAL = 0.9
-#: How many times as long an instance waits between looks that is so much slower than
-#: the holder that a faster one should take over before it. Of 97 instances 79 are, and
-#: their looks were 130 calls a second to the store.
-BEHIND_FACTOR = 3.0
-#: Seconds for which the lease's row is unchanged when such an instance looks as often
-#: as the others: two renewals.
-OVERDUE_TERM = 0.6
-#: Seconds between looks at a lease that nobody holds.
-CLAIM_INTERVAL = 0.1
-#: Most seconds that standbys wait on top, drawn at random, so that they do not
-#: all claim at once.
-STAGGER = 0.25
-#: Seconds that an instance without any processor time would wait on top for one as
-#: fast as the last holder: about the longest time between two looks, so that one
-#: of them has looked by then. With leaders of 0.3 cores instead of 2 a day with 480
-#: starts a second was worth 0.20 to 0.43 instead of 0.75.
-HANDICAP = 0.9
-#: Seconds that an instance which is slow at present waits on top.
-SLOW_HANDICAP = 1.0
-#: How much faster than the holder a standby must be to take the lease from it: more
-#: than measurements differ, as a change of leader costs starts about 0.2 s.
-FASTER_FACTOR = 1.5
-#: Seconds for which the holder has led by then, so that leaders change seldom.
-SETTLED_TERM = 2.0
+#: The same in multiples of the holder's recent renewal interval, if that is longer: a
+#: busy holder is alive, and its successor would be at least as busy.
+MAX_MISSED_RENEWALS = 3.0
+#: Seconds added after a takeover for each worker, divided by the cores of the holder:
+#: it polls all workers at once then, which is the peak load of a leader. The second
+#: constant is the number of seconds after the takeover for which they are added.
+TAKEOVER_ALLOWANCE_S = 0.0028
+TAKEOVER_PERIOD_S = 5.0
+#: Upper bound of the lease time-out, whatever the holder reports. With it, leases of
+#: workers outlast the time-out and a takeover.
+MAX_LEASE_TIMEOUT_S = 2.0
+#: Multiple of a standby's own read time that is added to the time-out, since a slow
+#: store also delays renewals: a renewal takes about three times as long as a read.
+READ_TIME_FACTOR = 4.0
+#: Bounds of the random interval, in seconds, at which an instance checks the lease. A
+#: few instances with short intervals are enough, and each check is a call to the store.
+MIN_CHECK_INTERVAL_S = 0.3
+MAX_CHECK_INTERVAL_S = 0.9
+#: Factor on the check interval of an instance that is so much slower than the holder
+#: that a faster one should take over first. In a fleet of 97 instances, 79 are, and
+#: their checks were 130 calls a second to the store.
+SLOW_STANDBY_FACTOR = 3.0
+#: Seconds without a renewal after which such an instance checks as often as the
+#: others: two renewal intervals.
+OVERDUE_AFTER_S = 0.6
+#: Seconds between checks of a lease that nobody holds.
+CLAIM_INTERVAL_S = 0.1
+#: Upper bound of a random delay, in seconds, that keeps standbys from claiming the
+#: lease all at once.
+MAX_STAGGER_S = 0.25
+#: Additional delay, in seconds, of an instance with no processor share at all, in
+#: favour of one as fast as the last holder; slower instances wait a proportional part.
+#: It is about the longest check interval, so that a fast instance has checked by then.
+#: A day with 480 starts a second scored 0.20 to 0.43 with leaders of 0.3 cores, instead
+#: of 0.75 with leaders of 2 cores.
+MAX_CLAIM_DELAY_S = 0.9
+#: Additional delay, in seconds, of an instance that is slow at present.
+SLOW_CLAIM_DELAY_S = 1.0
+#: Speed ratio at which a standby takes the lease from a live holder. It exceeds the
+#: variation of measurements, as a leader change delays starts by about 0.2 s.
+MIN_SPEED_RATIO = 1.5
+#: Seconds for which a holder must have led before a faster standby replaces it, which
+#: limits how often the leader changes.
+MIN_TENURE_S = 2.0
 #: Seconds between measurements of the leader's own speed.
-SPEED_INTERVAL = 0.3
-#: Seconds for which an instance that gave the lease up as it was slow, or lost it,
-#: leaves it to others.
-SHUN_TERM = 8.0
+SPEED_CHECK_INTERVAL_S = 0.3
+#: Seconds for which an instance that released the lease because it was slow, or lost
+#: it, lets others claim it first.
+BACK_OFF_S = 8.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedLease:
-    """The rows of the leadership as they were last read."""
+    """The lease row as last read, and since when it has been that way."""
 
     lease: journal.Lease | None
     lease_version: int
-    #: Elapsed time at which the lease's row was first seen like this.
+    #: Elapsed time at which this version of the row was first read.
     unchanged_since: float
-    #: Elapsed time at which its holder was first seen to lead.
+    #: Elapsed time at which this holder was first seen.
     led_since: float
-    #: Elapsed time at which it was seen to take over from another; None if it was not.
+    #: Elapsed time at which it was seen to replace another holder; None if it was not.
     taken_over_at: float | None = None
 
 
 class Leadership:
-    """Watches the lease and takes it when nobody holds it."""
+    """Checks the lease and claims it when nobody holds it."""
 
     def __init__(
         self,
@@ -108,67 +110,71 @@
         self.rand = rand
         self.incarnation = f"{rand.getrandbits(64):016x}"
         self.observed: ObservedLease | None = None
-        #: Speed of this instance, in cores.
+        #: Processor share of this instance, in cores.
         self.cores = cores
         self.speed = speed.SpeedProbe(clock)
-        self.stagger = rand.uniform(0, STAGGER)
-        #: Seconds that the latest reading took.
-        self.read_term = 0.0
-        #: Elapsed time until which the lease is left to others.
+        self.stagger = rand.uniform(0, MAX_STAGGER_S)
+        #: Seconds that the latest read took.
+        self.read_time = 0.0
+        #: Elapsed time until which others may claim the lease first.
         self.back_off_until = 0.0
-        self.check_interval = rand.uniform(LEAST_WATCH_INTERVAL, MOST_WATCH_INTERVAL)
+        self.check_interval = rand.uniform(MIN_CHECK_INTERVAL_S, MAX_CHECK_INTERVAL_S)
 
     def check(self) -> journal.HeldLease | None:
-        """Look at the lease once; return it if it was taken."""
+        """Check the lease once; return it if this instance has claimed it."""
         sent_at = self.clock.elapsed()
         if not self._read(sent_at) or self.observed is None:
             return None
         self.speed.measure()
-        if not self._may_claim(sent_at) and not self._faster(sent_at):
+        if not self._may_claim(sent_at) and not self._should_replace_holder(sent_at):
             return None
         return self._claim()
 
     def next_check_delay(self) -> float:
-        """Return the seconds until the next look; short while a claim is due."""
-        seen = self.observed
-        if seen is None:
+        """Return the seconds until the next check; short while the lease is free."""
+        observed = self.observed
+        if observed is None:
             return self.check_interval
-        if seen.lease is None or seen.lease.released:
-            return CLAIM_INTERVAL
-        overdue = self.clock.elapsed() - seen.unchanged_since >= OVERDUE_TERM
-        if not overdue and seen.lease.cores >= FASTER_FACTOR * self.cores:
-            return self.check_interval * BEHIND_FACTOR
+        if observed.lease is None or observed.lease.released:
+            return CLAIM_INTERVAL_S
+        overdue = self.clock.elapsed() - observed.unchanged_since >= OVERDUE_AFTER_S
+        if not overdue and observed.lease.cores >= MIN_SPEED_RATIO * self.cores:
+            return self.check_interval * SLOW_STANDBY_FACTOR
         return self.check_interval
 
     def release_when_slow(self, release: cabc.Callable[[], None]) -> None:
-        """Give the lease up once this instance has turned slow; while it leads.
+        """Measure the speed of this instance while it leads; release once it is slow.
 
-        One that was slow already when it took the lease keeps it: it was the only
-        one left, or all are as slow, and giving it up would help nobody.
+        An instance that was already slow when it claimed the lease keeps it until it
+        has been fast: it is the only one left, or all others are as slow.
         """
-        fair = not self.speed.slow
+        was_fast = not self.speed.slow
         while True:
-            self.clock.sleep(SPEED_INTERVAL)
+            self.clock.sleep(SPEED_CHECK_INTERVAL_S)
             self.speed.measure()
             slow = self.speed.slow
-            if slow and fair:
+            if slow and was_fast:
                 break
-            fair = fair or not slow
-        log.warning("turned slow", best=self.speed.best, recent=[*self.speed.recent])
+            was_fast = was_fast or not slow
+        log.warning(
+            "instance slow; releasing the lease",
+            best=self.speed.best,
+            recent=[*self.speed.recent],
+        )
         self.counters.count("leadership.turned_slow")
-        self.shun()
+        self.back_off()
         release()
 
-    def shun(self) -> None:
-        """Leave the lease to others for a while."""
-        self.back_off_until = self.clock.elapsed() + SHUN_TERM
+    def back_off(self) -> None:
+        """Let others claim the lease first for a while."""
+        self.back_off_until = self.clock.elapsed() + BACK_OFF_S
 
     def _read(self, sent_at: float) -> bool:
-        # This row alone: what was learned stands beside it, and is much longer.
+        # Read only this row: the row with learned interference is much longer.
         found = self.rows.read([keys.LEASE])
         if isinstance(found, result.Err):
             self.counters.count("leadership.read_failed")
-            # What went unseen meanwhile may have been renewals.
+            # Renewals may have been missed in the meantime.
             self.observed = None
             return False
         lease_row = found.ok_value.get(keys.LEASE)
@@ -178,7 +184,7 @@
             self.observed is not None and self.observed.lease_version == lease_version
         )
         now = self.clock.elapsed()
-        self.read_term = now - sent_at
+        self.read_time = now - sent_at
         since = self.observed.unchanged_since if same and self.observed else now
         led_since, taken_at = now, None
         if self.observed and self.observed.lease and lease:
@@ -193,66 +199,75 @@
         return True
 
     def _may_claim(self, now: float) -> bool:
-        seen = self.observed
-        if seen is None:
+        observed = self.observed
+        if observed is None:
             return False
-        handicap = self._handicap(seen.lease, now)
-        if seen.lease is None or seen.lease.released:
-            return now - seen.unchanged_since >= handicap
-        if seen.lease.holder == self.name:
-            # An earlier run of this very instance: it has ended.
+        delay = self._claim_delay(observed.lease, now)
+        if observed.lease is None or observed.lease.released:
+            return now - observed.unchanged_since >= delay
+        if observed.lease.holder == self.name:
+            # The holder is an earlier process of this instance, which has ended.
             return True
-        fresh = (
-            seen.taken_over_at is not None and now < seen.taken_over_at + TAKEOVER_SPAN
+        after_takeover = (
+            observed.taken_over_at is not None
+            and now < observed.taken_over_at + TAKEOVER_PERIOD_S
         )
-        term = lease_timeout(seen.lease, fresh)
-        term += READ_FACTOR * self.read_term + self.stagger + handicap
-        return now - seen.unchanged_since >= term
+        timeout = lease_timeout(observed.lease, after_takeover)
+        timeout += READ_TIME_FACTOR * self.read_time + self.stagger + delay
+        return now - observed.unchanged_since >= timeout
 
-    def _handicap(self, lease: journal.Lease | None, now: float) -> float:
-        """Return the seconds for which faster instances may take the lease first."""
+    def _claim_delay(self, lease: journal.Lease | None, now: float) -> float:
+        """Return the seconds for which faster instances may claim the lease first."""
         fastest = lease.cores if lease else 1.0
-        behind = max(fastest - self.cores, 0.0) / max(fastest, self.cores)
-        handicap = HANDICAP * behind
+        deficit = max(fastest - self.cores, 0.0) / max(fastest, self.cores)
+        delay = MAX_CLAIM_DELAY_S * deficit
         if self.speed.slow or now < self.back_off_until:
-            handicap += SLOW_HANDICAP
-        return handicap
+            delay += SLOW_CLAIM_DELAY_S
+        return delay
 
-    def _faster(self, now: float) -> bool:
-        """Tell whether this instance should lead in place of a live holder."""
-        seen = self.observed
-        if seen is None or seen.lease is None or now - seen.led_since < SETTLED_TERM:
+    def _should_replace_holder(self, now: float) -> bool:
+        """Return whether this instance should replace a live holder."""
+        observed = self.observed
+        if (
+            observed is None
+            or observed.lease is None
+            or now - observed.led_since < MIN_TENURE_S
+        ):
             return False
         if self.speed.slow or now < self.back_off_until:
             return False
-        return self.cores >= FASTER_FACTOR * seen.lease.cores
+        return self.cores >= MIN_SPEED_RATIO * observed.lease.cores
 
     def _claim(self) -> journal.HeldLease | None:
-        seen = self.observed
-        if seen is None:
+        observed = self.observed
+        if observed is None:
             return None
-        token = seen.lease.token + 1 if seen.lease else 1
+        token = observed.lease.token + 1 if observed.lease else 1
         lease = journal.Lease(
             self.name,
             self.incarnation,
             token,
             cores=self.cores,
-            interval=seen.lease.interval if seen.lease else journal.RENEWAL_INTERVAL_S,
-            workers=seen.lease.workers if seen.lease else 0,
-            # What all instances go by stays in force until this one knows better.
-            # Without the bound, all continuous work was let in between two leaders.
-            continuous_bound=seen.lease.continuous_bound if seen.lease else None,
-            pending=seen.lease.pending if seen.lease else {},
+            interval=observed.lease.interval
+            if observed.lease
+            else journal.RENEWAL_INTERVAL_S,
+            workers=observed.lease.workers if observed.lease else 0,
+            # Carry over the published values until this leader has its own. Without
+            # the bound, continuous jobs were admitted without limit during a takeover.
+            continuous_bound=observed.lease.continuous_bound
+            if observed.lease
+            else None,
+            pending=observed.lease.pending if observed.lease else {},
         )
         link = codec.to_json(f"{token}.0.{self.incarnation}")
-        version = journal.claim_lease(self.rows, lease, link, seen.lease_version)
+        version = journal.claim_lease(self.rows, lease, link, observed.lease_version)
         self.observed = None
         if version is None:
             self.counters.count("leadership.claim_lost")
             return None
-        previous = seen.lease.holder if seen.lease else ""
-        age = round(self.clock.elapsed() - seen.unchanged_since, 3)
-        log.info("lease won", token=token, previous=previous, unchanged=age)
+        previous = observed.lease.holder if observed.lease else ""
+        age = round(self.clock.elapsed() - observed.unchanged_since, 3)
+        log.info("lease acquired", token=token, previous=previous, unchanged=age)
         self.counters.count("leadership.claimed")
         return journal.HeldLease(lease, version, version)
 
@@ -260,14 +275,21 @@
 def lease_timeout(lease: journal.Lease, after_takeover: bool) -> float:
     """Return the seconds without a renewal after which a holder counts as lost.
 
-    `fresh` tells that it has just taken over. Leaders of large fleets were deposed for
-    being a little late, and their successors too; nobody looked at workers meanwhile::
+    Right after a takeover the time-out is longer. Otherwise leaders of large fleets
+    were deposed for being slightly late, and so were their successors, while nobody
+    polled the workers::
 
         >>> lease = journal.Lease("a", "", 7, cores=2.0, workers=800)
-        >>> term_of(lease, fresh=False), term_of(lease, fresh=True)
+        >>> (
+        ...     lease_timeout(lease, after_takeover=False),
+        ...     lease_timeout(lease, after_takeover=True),
+        ... )
         (0.9, 2.0)
     """
-    term = max(LEASE_TIMEOUT_S, MISSED_RENEWALS * lease.interval)
+    timeout = max(LEASE_TIMEOUT_S, MAX_MISSED_RENEWALS * lease.interval)
     if after_takeover:
-        term = max(term, LEASE_TIMEOUT_S + TAKEOVER_TERM * lease.workers / lease.cores)
-    return min(term, LONGEST_TERM)
+        timeout = max(
+            timeout,
+            LEASE_TIMEOUT_S + TAKEOVER_ALLOWANCE_S * lease.workers / lease.cores,
+        )
+    return min(timeout, MAX_LEASE_TIMEOUT_S)
--- a/src/mangosail/scheduler/messages.py
+++ b/src/mangosail/scheduler/messages.py
@@ -1,7 +1,7 @@
-"""What jobs, their tasks and the workers' answers look like to the scheduler.
+"""Immutable data of the scheduler: jobs, worker reports, worker entries, configuration.
 
 A job consists of steps, a step of tasks. A scheduled job repeats its steps as
-occurrences. All of it is frozen; what changes is kept in `progress` and `fleet`.
+occurrences. Mutable state is in `progress` and `fleet`.
 """
 
 import dataclasses
@@ -12,40 +12,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """Tasks of one kind, and what they need of the workers that run them."""
+    """A number of equal tasks and their requirements on workers."""
 
     count: int
     need: resources.Resources
-    #: Seconds that a task is thought to take; a rough figure.
+    #: Rough estimate of the seconds that a task takes.
     estimate: float = 0.0
-    #: Earlier steps, by number, whose tasks must all be done first.
+    #: Numbers of earlier steps whose tasks must all be done first.
     after: tuple[int, ...] = ()
     checkpointing: bool = False
-    #: The tasks run at the same time or not at all.
+    #: All tasks run at the same time or not at all.
     gang: bool = False
     same_rack: bool = False
-    #: Label that the worker must have; empty if any will do.
+    #: Label that the worker must have; empty for any worker.
     label: str = ""
-    #: Rack where the data is; empty if it does not matter.
+    #: Rack that holds the input data; empty for no preference.
     data_rack: str = ""
-    #: Most tasks of the step on one worker; 0 if it does not matter.
+    #: Maximum number of the step's tasks on one worker; 0 for no limit.
     most_per_worker: int = 0
     copies_allowed: bool = False
     #: The tasks run until the job is cancelled.
     continuous: bool = False
     image: str = ""
-    #: Milliseconds that the tail of a latency-critical task's response times should
-    #: stay under.
+    #: Target for the tail latency of a latency-critical task, in milliseconds.
     latency_target: float = 0.0
-    #: The tasks take only processor time that others leave, and reserve none.
+    #: The tasks use only idle processor time and reserve none.
     best_effort: bool = False
-    #: Tasks of a continuous step that may be away at a time by our own doing.
+    #: Tasks of a continuous step that the scheduler may have stopped at a time.
     may_miss: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A job as it was accepted."""
+    """An accepted job."""
 
     job_id: str
     queue: str
@@ -55,18 +54,18 @@
     #: Wall time at which the job was accepted.
     accepted_at: float
     priority: int = 0
-    #: Failed runs of a task after which the job has failed.
+    #: Number of failed runs of a task after which the job fails.
     attempts: int = 1
-    #: How many times the steps run.
+    #: Number of times that the steps run.
     occurrences: int = 1
-    #: Wall time at which the first occurrence is due; 0 if at once.
+    #: Wall time at which the first occurrence is due; 0 for immediately.
     first_due: float = 0.0
     #: Seconds between the due times of occurrences.
     interval: float = 0.0
 
     @property
     def scheduled(self) -> bool:
-        """Tell whether the occurrences have due times."""
+        """Return whether the occurrences have due times."""
         return self.first_due > 0
 
     def due(self, occurrence: int) -> float:
@@ -77,7 +76,7 @@
 
 
 class State(enum.StrEnum):
-    """What a job is shown as."""
+    """State of a job, as shown to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -86,40 +85,40 @@
     CANCELLED = "cancelled"
 
 
-#: States that a job never leaves.
+#: Terminal states of a job.
 FINAL = frozenset({State.COMPLETED, State.FAILED, State.CANCELLED})
 
 
 class Outcome(enum.StrEnum):
-    """How a run ended."""
+    """Outcome of a run."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    #: The worker's lease ran out.
-    LAPSED = "lapsed"
+    #: The worker's lease expired.
+    LEASE_EXPIRED = "lapsed"
     #: Another member of the gang ended.
-    BROKEN = "broken"
-    #: The other members of the gang did not come in time.
-    ALONE = "alone"
+    GANG_BROKEN = "broken"
+    #: Other members of the gang did not start in time.
+    GANG_INCOMPLETE = "alone"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A run that a worker lists."""
+    """A run that a worker reports as running."""
 
     task: str
     run: int
     checkpoint: str
     progress_percent: int
-    #: For a latency-critical task the tail of its response times in milliseconds, for
-    #: another one the thousandths of a core that it used in the last half second.
+    #: Tail latency in milliseconds for a latency-critical task; for any other task, the
+    #: processor use of the last half second in thousandths of a core.
     measurement: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnd:
-    """The end of a run; `number` counts the ends of one life of the worker."""
+    """The end of a run; `number` counts the ends of one incarnation of the worker."""
 
     number: int
     task: str
@@ -130,24 +129,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What a worker says about itself; `clock` is its own, in milliseconds."""
+    """Answer of a worker to a poll; `clock` is the worker's own, in milliseconds."""
 
     clock: int
     running: tuple[RunningTask, ...]
     ended: tuple[RunEnd, ...]
-    #: Which life of the worker answers, as in its entry; None if it doesn't say.
+    #: Incarnation that answers, as in the worker's entry; None if not reported.
     incarnation: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Tells a worker to start a run; it is void after `deadline`."""
+    """Order to a worker to start a run, invalid after `deadline`."""
 
     task: str
     run: int
     spec: str
     checkpoint: str
-    #: Milliseconds on the worker's clock.
+    #: On the worker's clock, in milliseconds.
     deadline: int
     token: int
     ticket: str = ""
@@ -155,7 +154,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A worker as the platform lists it."""
+    """A worker in the platform's list."""
 
     name: str
     service: str
@@ -164,16 +163,17 @@
     capacity: resources.Resources
     labels: frozenset[str]
     draining: bool = False
-    #: Seconds that a draining worker still serves at least.
+    #: Minimum seconds for which a draining worker goes on working.
     remaining: float | None = None
-    #: Unix milliseconds at which this life of the worker began. A later life may have a
-    #: lower number, as clocks jump. None if it doesn't say: its name tells its life.
+    #: Unix milliseconds at which this incarnation of the worker started. Not monotonic,
+    #: as the wall clock may jump. None if not reported: then each incarnation has a
+    #: name of its own.
     incarnation: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queue:
-    """Where jobs of one kind are handed in, and how they are treated."""
+    """A route for job submissions, and the scheduling policy of its jobs."""
 
     name: str
     host: str
@@ -181,13 +181,13 @@
     service: str
     priority: int
     attempts: int
-    #: Seconds that a caller of this queue may be kept waiting.
+    #: Seconds within which a caller of this queue must be answered.
     timeout: float
-    #: A job should end within this multiple of the time that it takes alone, and
-    #: `target` seconds more.
+    #: A job should end within this multiple of the time that it takes on its own, plus
+    #: `target` seconds.
     stretch: float = 1.0
     target: float = 0.0
-    #: True if only workers that the advice service names may run its tasks.
+    #: True if its tasks may only run on workers that the advice service approves.
     needs_advice: bool = False
 
 
@@ -196,18 +196,18 @@
     """A pool of workers."""
 
     name: str
-    #: True if its workers refuse what does not fit.
+    #: True if its workers refuse tasks that do not fit.
     checks_admission: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a caller sends."""
+    """Limits on requests of callers."""
 
     body_bytes: int = 262144
-    #: Seconds in which a request's headers must have come.
+    #: Seconds within which the headers of a request must arrive.
     headers_timeout: float = 3.0
-    #: Seconds that a connection may idle between requests.
+    #: Seconds for which a connection may be idle between requests.
     idle_timeout: float = 15.0
 
 
@@ -227,7 +227,7 @@
 
 
 def task_name(job_id: str, occurrence: int, step: int, index: int) -> str:
-    """Return the name of a task, which is the same in every run.
+    """Return the name of a task, which is the same for all of its runs.
 
     >>> task_name("5c0e7a21d94b36f8", 0, 1, 17)
     '5c0e7a21d94b36f8.0.1.17'
--- a/src/mangosail/scheduler/polling.py
+++ b/src/mangosail/scheduler/polling.py
@@ -1,4 +1,4 @@
-"""Attending to a worker: one greenlet that looks at it for as long as it lives."""
+"""Polling of workers: one greenlet per worker, for as long as the worker is known."""
 
 import collections.abc as cabc
 
@@ -23,41 +23,41 @@
 
 log = logbook.Logger("attendance")
 
-#: Seconds by which each look extends the lease of all that runs on the worker.
-#: Longer than a new leader needs to take over, and short enough that tasks of a
-#: lost worker soon run elsewhere.
+#: Seconds by which each poll extends the lease of all runs on the worker. Longer than
+#: a leader change takes, so that runs survive one, and short enough that the tasks of
+#: a lost worker are soon restarted elsewhere.
 LEASE_EXTENSION_S = 4.3
 #: Seconds after its last confirmed write for which a leader goes on extending
-#: leases. It bounds what a leader that was cut off keeps alive, and bridges an
-#: outage of the store together with `LEASE_EXTENSION_S`.
+#: leases. Bounds how long a partitioned leader keeps runs alive. Together with
+#: `LEASE_EXTENSION_S` it is the longest store outage that runs survive.
 MAX_UNCONFIRMED_S = 3.2
-#: Seconds for which a look waits for an end, where short tasks run and elsewhere. Looks
-#: are the most frequent calls of a leader; where short tasks run, most are answered
-#: sooner for an end.
-LOOK_WAIT = 0.6
-QUIET_WAIT = 1.2
-#: Seconds between looks at a worker that does not answer.
-SILENT_INTERVAL = 0.25
-#: Seconds between looks at a worker whose ends are not durable yet.
-UNSEEN_INTERVAL = 0.25
-#: Seconds for which ends are gathered before the next look: a look costs the same
-#: for one end and for many.
+#: Seconds for which a long poll waits for a run to end: on workers with finite tasks,
+#: and on all others. Polls are the most frequent calls of a leader. On workers with
+#: finite tasks most of them return early because a run has ended.
+POLL_WAIT_S = 0.6
+IDLE_POLL_WAIT_S = 1.2
+#: Seconds between polls of a worker that does not answer.
+UNREACHABLE_POLL_INTERVAL_S = 0.25
+#: Seconds between polls of a worker while ends that it reported are not yet durable.
+UNACKNOWLEDGED_POLL_INTERVAL_S = 0.25
+#: Seconds for which ends are batched before the next poll: a poll costs the same for
+#: one end as for many.
 BATCH_WINDOW_S = 0.015
 
 
 class Poller:
-    """Looks at one worker after another look, and passes on what it lists."""
+    """Polls workers, extends their leases and passes their reports on."""
 
     def __init__(
         self,
         client: ports.WorkerClient,
         job_journal: journal.Journal,
-        taking_in: reports.ReportProcessor,
+        worker_reports: reports.ReportProcessor,
         worker_orders: orders.Orders,
         model: interference.Model,
         changed: gevent.event.Event,
-        on_gone: cabc.Callable[[fleet.Worker, str], None],
-        on_later_life: cabc.Callable[
+        on_removed: cabc.Callable[[fleet.Worker, str], None],
+        on_later_incarnation: cabc.Callable[
             [fleet.Worker, messages.WorkerReport], fleet.Worker
         ],
         clock: clocks.Clock,
@@ -65,58 +65,61 @@
     ) -> None:
         self.client = client
         self.journal = job_journal
-        self.reports = taking_in
+        self.reports = worker_reports
         self.orders = worker_orders
         self.model = model
         self.throttler = throttling.Throttler(model)
         self.changed = changed
-        self.on_gone = on_gone
-        self.on_later_life = on_later_life
+        self.on_removed = on_removed
+        self.on_later_incarnation = on_later_incarnation
         self.clock = clock
         self.counters = counters
 
     def poll_until_removed(self, worker: fleet.Worker) -> None:
-        """Look at a worker until it is gone."""
+        """Poll a worker until it is removed from the fleet."""
         while not worker.removed:
             self.poll(worker)
 
     def poll(self, worker: fleet.Worker) -> None:
-        """Look once, and wait as long as the next look should."""
+        """Poll once, then sleep until the next poll is due."""
         now = self.clock.elapsed()
-        unseen = worker.last_end_seen > worker.last_end_acknowledged
+        unacknowledged = worker.last_end_seen > worker.last_end_acknowledged
         wait = 0.0
-        if worker.contacted and worker.reachable and not unseen:
-            wait = LOOK_WAIT if worker.runs_finite_tasks else QUIET_WAIT
-        answer = self._answer_to_look(worker, self._deadline(worker, now), wait)
+        if worker.contacted and worker.reachable and not unacknowledged:
+            wait = POLL_WAIT_S if worker.runs_finite_tasks else IDLE_POLL_WAIT_S
+        answer = self._poll_or_retry(
+            worker, self._next_lease_deadline(worker, now), wait
+        )
         if answer is None or worker.removed:
             return
         if isinstance(answer, result.Err):
             self._poll_failed(worker, answer.err_value)
             return
-        ends = self.handle_report(worker, answer.ok_value, now)
+        new_ends = self.handle_report(worker, answer.ok_value, now)
         if worker.removed:
             return
         self._throttle(worker, answer.ok_value.running)
-        if ends:
-            self._acknowledge(worker)
-        elif unseen:
-            self.clock.sleep(UNSEEN_INTERVAL)
+        if new_ends:
+            self._acknowledge_when_durable(worker)
+        elif unacknowledged:
+            self.clock.sleep(UNACKNOWLEDGED_POLL_INTERVAL_S)
 
-    def _answer_to_look(
+    def _poll_or_retry(
         self, worker: fleet.Worker, deadline: int | None, wait: float
     ) -> result.Result[messages.WorkerReport, errors.OrderError] | None:
-        """Look, and return the answer; None if another look was answered instead.
+        """Poll and return the answer, or None if a second poll was answered instead.
 
-        The load this answers: a part of the looks gets no answer. Until the call was
-        given up, 2 s later, no end on the worker was seen, nor its leases extended: a
-        job of 15 tasks waited for one such worker or another, and after two looks in a
-        row without an answer all tasks there were lost.
+        Some polls are never answered. Waiting for the client's time-out of 2 s delays
+        the ends of runs on that worker (a job of 15 tasks nearly always had one such
+        worker) and its lease extensions: two unanswered polls in a row lost all of its
+        tasks. So a poll that is late is followed by a second one beside it.
         """
         call = gevent.spawn(
             self.client.poll,
             worker.entry,
             self.journal.token,
-            # After a silence another life may answer, whose ends nobody has read yet.
+            # After a time without contact another incarnation may answer, whose ends
+            # have not been read yet and must not be acknowledged.
             worker.last_end_acknowledged if worker.reachable else 0,
             deadline,
             wait,
@@ -129,7 +132,7 @@
         return None
 
     def poll_now(self, worker: fleet.Worker) -> bool:
-        """Look once, beside the look that may be waiting; tell whether it answered."""
+        """Poll once beside the pending long poll; return whether it was answered."""
         sent_at = self.clock.elapsed()
         answer = self.client.poll(
             worker.entry, self.journal.token, 0, None, 0.0, out_of_band=True
@@ -138,61 +141,63 @@
             self.counters.count("workers.look_now_failed")
             return False
         if self.handle_report(worker, answer.ok_value, sent_at):
-            gevent.spawn(self._acknowledge, worker)
+            gevent.spawn(self._acknowledge_when_durable, worker)
         return True
 
     def handle_report(
-        self, worker: fleet.Worker, look: messages.WorkerReport, sent_at: float
+        self, worker: fleet.Worker, report: messages.WorkerReport, sent_at: float
     ) -> bool:
-        """Take in a look, and tell whether it listed new ends.
+        """Process a report and return whether it listed new ends.
 
-        A worker may start again under its name. What is known of its earlier life does
-        not hold for the later one: the numbers of its ends and its clock begin anew.
+        A worker may restart under the same name. State of the earlier incarnation does
+        not apply to the later one: its end numbers and its clock start over.
         """
-        life = (
-            worker.classify_report(look, sent_at)
+        order = (
+            worker.classify_report(report, sent_at)
             if worker.contacted
             else fleet.IncarnationOrder.CURRENT
         )
-        if life is not fleet.IncarnationOrder.CURRENT:
-            self.counters.count(f"workers.other_life.{life.value}")
+        if order is not fleet.IncarnationOrder.CURRENT:
+            self.counters.count(f"workers.other_life.{order.value}")
             log.warning(
-                "another life answers", worker=worker.name, life=life.value,
-                born=look.incarnation, before=worker.incarnation, clock=look.clock,
+                "report from another incarnation", worker=worker.name, life=order.value,
+                born=report.incarnation, before=worker.incarnation, clock=report.clock,
                 clock_before=round(worker.clock),
             )  # fmt: skip
-        if life is fleet.IncarnationOrder.EARLIER:
+        if order is fleet.IncarnationOrder.EARLIER:
             return False
-        if life is fleet.IncarnationOrder.LATER:
-            worker = self.on_later_life(worker, look)
+        if order is fleet.IncarnationOrder.LATER:
+            worker = self.on_later_incarnation(worker, report)
         if not worker.contacted or worker.incarnation is None:
             worker.incarnation = (
-                look.incarnation if look.incarnation is not None else worker.incarnation
+                report.incarnation
+                if report.incarnation is not None
+                else worker.incarnation
             )
         if not worker.reachable:
             self.counters.count("workers.reached")
             log.info("worker reached", worker=worker.name)
             self.changed.set()
         if not worker.contacted:
-            # An earlier leader may have extended the lease until just now, or a look at
-            # an earlier life, by a clock that showed far more.
+            # An earlier leader may have extended the lease until just now. So may a
+            # poll meant for an earlier incarnation, whose clock was far ahead.
             longest = max(LEASE_EXTENSION_S, worker.max_stray_lease)
             worker.lease_deadline = max(
-                worker.lease_deadline, look.clock + longest * 1000
+                worker.lease_deadline, report.clock + longest * 1000
             )
-        taken_in = worker.last_end_seen
-        self.reports.process(worker, look, sent_at)
-        if worker.last_end_seen == taken_in:
+        last_end_before = worker.last_end_seen
+        self.reports.process(worker, report, sent_at)
+        if worker.last_end_seen == last_end_before:
             return False
         self.changed.set()
-        if life is fleet.IncarnationOrder.LATER:
-            gevent.spawn(self._acknowledge, worker)
+        if order is fleet.IncarnationOrder.LATER:
+            gevent.spawn(self._acknowledge_when_durable, worker)
         return True
 
     def check_incarnation(
         self, worker: fleet.Worker, entry: messages.WorkerEntry
     ) -> None:
-        """Find out at once which life answers where an entry says."""
+        """Poll the address of an entry at once to see which incarnation answers."""
         sent_at = self.clock.elapsed()
         answer = self.client.poll(
             entry, self.journal.token, 0, None, 0.0, out_of_band=True
@@ -201,15 +206,15 @@
             return
         if isinstance(answer, result.Ok):
             if self.handle_report(worker, answer.ok_value, sent_at):
-                gevent.spawn(self._acknowledge, worker)
+                gevent.spawn(self._acknowledge_when_durable, worker)
         elif isinstance(answer.err_value, errors.Replaced):
-            self.on_gone(worker, "replaced")
+            self.on_removed(worker, "replaced")
 
-    def _deadline(self, worker: fleet.Worker, now: float) -> int | None:
-        """Return the lease's next end, or None if it must not be extended."""
+    def _next_lease_deadline(self, worker: fleet.Worker, now: float) -> int | None:
+        """Return the next deadline of the lease, or None to leave it unextended."""
         if not worker.reachable:
-            # A look that is not answered may still extend the lease. If each did,
-            # the lease of a lost worker would never be over for us.
+            # An unanswered poll may still extend the lease. If each one were assumed
+            # to, the lease of a lost worker would never expire here.
             return None
         if now > self.journal.confirmed_at + MAX_UNCONFIRMED_S:
             self.counters.count("workers.not_extended")
@@ -218,17 +223,17 @@
         worker.lease_deadline = max(worker.lease_deadline, float(deadline))
         return deadline
 
-    def _acknowledge(self, worker: fleet.Worker) -> None:
-        """Let the worker forget the ends that were taken in, once they are durable."""
+    def _acknowledge_when_durable(self, worker: fleet.Worker) -> None:
+        """Acknowledge the processed ends to the worker once they are durable."""
         number = worker.last_end_seen
         durable = gevent.event.Event()
 
-        def seen() -> None:
+        def on_durable() -> None:
             worker.last_end_acknowledged = max(worker.last_end_acknowledged, number)
             durable.set()
 
-        self.journal.when_durable(seen)
-        durable.wait(UNSEEN_INTERVAL)
+        self.journal.when_durable(on_durable)
+        durable.wait(UNACKNOWLEDGED_POLL_INTERVAL_S)
         self.clock.sleep(BATCH_WINDOW_S)
 
     def _throttle(self, worker: fleet.Worker, running: tuple) -> None:
@@ -242,7 +247,7 @@
         now = self.clock.elapsed()
         reason = type(error).__name__.lower()
         if isinstance(error, errors.Replaced):
-            self.on_gone(worker, "replaced")
+            self.on_removed(worker, "replaced")
             return
         if isinstance(error, errors.Rejected) and error.reason is errors.Reason.FENCED:
             self.orders.fenced.set()
@@ -260,6 +265,6 @@
                 self.reports.handle_worker_lost(worker, "lease_over")
                 self.changed.set()
             if worker.unlisted:
-                self.on_gone(worker, "unlisted")
+                self.on_removed(worker, "unlisted")
                 return
-        self.clock.sleep(SILENT_INTERVAL)
+        self.clock.sleep(UNREACHABLE_POLL_INTERVAL_S)
--- a/src/mangosail/scheduler/ports.py
+++ b/src/mangosail/scheduler/ports.py
@@ -1,4 +1,4 @@
-"""What the scheduler needs of the outside: workers to order, rows to follow."""
+"""Interfaces that the scheduler needs: calls to workers, a table to watch."""
 
 import collections.abc as cabc
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class WorkerClient(t.Protocol):
-    """Carries orders to workers; one call is one request."""
+    """Sends orders to workers, one request per call."""
 
     def start(
         self, worker: messages.WorkerEntry, order: messages.StartOrder
@@ -22,7 +22,7 @@
     def stop(
         self, worker: messages.WorkerEntry, task: str, run: int, token: int
     ) -> result.Result[int, errors.OrderError]:
-        """Stop a run, or bar it if it is not there yet; return the worker's clock."""
+        """Stop a run, or prevent its start if it has not begun; return the clock."""
 
     def throttle(
         self,
@@ -32,7 +32,7 @@
         percent: int,
         token: int,
     ) -> result.Result[int, errors.OrderError]:
-        """Let a run work at `percent` of its speed; return the worker's clock."""
+        """Limit a run to `percent` of its speed; return the worker's clock."""
 
     def poll(
         self,
@@ -43,17 +43,17 @@
         wait: float,
         out_of_band: bool = False,
     ) -> result.Result[messages.WorkerReport, errors.OrderError]:
-        """Extend the lease to `deadline` and return what runs and what ended.
+        """Extend the lease to `deadline`, and return running and ended runs.
 
-        Ends up to `acknowledged` are forgotten by the worker. The answer waits for
-        an end, at most `wait` seconds. A look `aside` does not stand behind another
-        one that waits.
+        The worker drops ends numbered up to `acknowledged`. It delays the answer for up
+        to `wait` seconds until a run ends. A call `out_of_band` does not queue behind a
+        pending one.
         """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Rows that changed, in order, and the version to go on from."""
+    """Changed rows in order, and the version to read further changes from."""
 
     rows: tuple[table.Row, ...]
     removed: tuple[str, ...]
@@ -62,29 +62,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The changes asked for are no longer kept: all rows must be read again."""
+    """The requested changes are no longer stored: all rows must be read again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TooLong:
-    """The changes take longer to read than they are worth."""
+    """The changes exceed the size limit: reading all rows is cheaper."""
 
 
-#: Called whenever a part of an answer has come, while the rest is on its way.
+#: Called for each chunk of a response that arrives.
 OnData = cabc.Callable[[], None]
 
 
 def ignore_data() -> None:
-    """Heed no part of an answer but the whole."""
+    """Ignore the chunks of a response."""
 
 
 class WatchableTable(table.Table, t.Protocol):
-    """A table whose changes can be followed."""
+    """A table whose changes can be watched."""
 
     def read_all(
         self, prefix: str, on_data: OnData = ignore_data
     ) -> result.Result[Changes, store_errors.Unavailable]:
-        """Return every row under `prefix` and a version to follow changes from."""
+        """Return every row under `prefix` and the version to read changes from."""
 
     def changes(
         self,
@@ -94,7 +94,7 @@
         on_data: OnData = ignore_data,
         max_bytes: int | None = None,
     ) -> result.Result[Changes, store_errors.Unavailable | HistoryLost | TooLong]:
-        """Return what changed under `prefix` after a version, waiting for a change.
+        """Return changes under `prefix` after a version, or wait for the first one.
 
-        Changes of which the rows' texts take more than `most` bytes may not be read.
+        May fail with `TooLong` if the values of the rows exceed `max_bytes`.
         """
--- a/src/mangosail/scheduler/progress.py
+++ b/src/mangosail/scheduler/progress.py
@@ -1,7 +1,7 @@
-"""How far a job has come: its tasks, their runs, and the record that is kept.
+"""Progress of jobs: their tasks and runs, and the durable record of them.
 
-The record is rewritten whole with each change of a job, many jobs to one
-transaction. A row for each task cost a commit and several rows a start.
+The whole record is rewritten with each change of a job, and many records share one
+transaction. One row per task would take a commit and several rows per start.
 """
 
 import collections.abc as cabc
@@ -15,43 +15,43 @@
 
 
 class Phase(enum.IntEnum):
-    """Where a task stands."""
+    """Phase of a task."""
 
     WAITING = 0
-    #: A run is planned, or its start was sent and not yet answered.
+    #: A run is planned, or its start was sent and has not been answered.
     STARTING = 1
     RUNNING = 2
-    #: The start's answer was lost: the run may be there, or come later.
+    #: The answer to the start was lost: the run may exist, or begin later.
     DOUBTFUL = 3
-    #: The run is to end; it holds its room until its end is listed.
+    #: The run is being stopped; its resources stay reserved until its end is reported.
     STOPPING = 4
     DONE = 5
 
 
-#: Base and form of the number whose bits say which tasks of a step are done.
+#: Base and format of the number that is the bit set of a step's done tasks.
 DONE_BASE = 16
-DONE_TASKS = re.compile("[0-9a-f]+")
+HEX_DIGITS = re.compile("[0-9a-f]+")
 #: Phases in which a run may exist on a worker.
 LIVE = frozenset({Phase.STARTING, Phase.RUNNING, Phase.DOUBTFUL, Phase.STOPPING})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskRecord:
-    """What is kept of a task that is neither as new nor done."""
+    """Record of a task that has begun and is not done."""
 
     occurrence: int
     step: int
     index: int
     run: int
     failures: int
-    #: Position in the record's workers of the one that may run it; -1 if none.
+    #: Index into the record's workers of the one that may run it; -1 for none.
     worker: int
     checkpoint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DoneRecord:
-    """Which tasks of a step are done, one bit each, as a hexadecimal number."""
+    """Bit set of the done tasks of a step, as a hexadecimal number."""
 
     occurrence: int
     step: int
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """How many workers may have crashed under a task, and how many clearly did."""
+    """Numbers of workers that possibly and that certainly crashed under a task."""
 
     occurrence: int
     step: int
@@ -71,24 +71,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRecord:
-    """What is kept of a job's progress.
+    """Durable record of a job's progress.
 
-    It is written again with each change, so what is known of most tasks takes a bit
-    each, and the rows are those of `TaskRecord` and `DoneRecord` without names.
+    It is rewritten with each change, so it is compact: a done task takes one bit, and
+    the rows are `TaskRecord` and `DoneRecord` without field names.
     """
 
     state: messages.State = messages.State.QUEUED
     workers: tuple[str, ...] = ()
     tasks: tuple[tuple[int, int, int, int, int, int, str], ...] = ()
     done: tuple[tuple[int, int, str], ...] = ()
-    #: Rows of `CrashRecord`; not in `tasks`, whose rows earlier builds read too.
+    #: Rows of `CrashRecord`. Not part of `tasks`, as earlier builds also read its rows.
     crashes: tuple[tuple[int, int, int, int, int], ...] = ()
-    #: Wall time from which the record may be dropped; 0 while the job is not over.
+    #: Wall time from which the record may be dropped; 0 until the job has ended.
     drop_at: float = 0.0
 
 
 class Task:
-    """A task of a job; at most one run of it exists at a time."""
+    """A task of a job, with at most one run at a time."""
 
     __slots__ = (
         "avoided_worker",
@@ -133,59 +133,63 @@
         #: Number of the latest run; 0 before the first.
         self.run = 0
         self.failures = 0
-        #: Workers that may have crashed under it, and those that clearly did.
+        #: Number of workers that possibly crashed under it, and of those that
+        #: certainly did.
         self.crashes = 0
         self.certain_crashes = 0
-        #: True while it may have crashed a worker right after its start.
+        #: True while it is suspected of having crashed a worker right after its start.
         self.suspect = False
-        #: Name of the worker that may run it; empty if none does.
+        #: Name of the worker that may run it; empty for none.
         self.worker = ""
         self.checkpoint = ""
-        #: Progress of the present run as last listed, and since when it stands.
+        #: Progress of the current run as last reported, and the elapsed time at which
+        #: it last changed.
         self.progress_percent = 0
         self.progressed_at = 0.0
         self.started_at = 0.0
-        #: Elapsed time at which this leader sent the present run's start; None if it
-        #: has not.
+        #: Elapsed time at which this leader sent the start of the current run; None if
+        #: it has not.
         self.start_sent_at: float | None = None
-        #: True once its worker has answered the present run's start, or listed the run.
+        #: True once its worker has answered the start of the current run, or has
+        #: reported the run.
         self.start_confirmed = False
-        #: True once a look at the present life of its worker has listed the run.
+        #: True once the current incarnation of its worker has reported the run.
         self.listed = False
-        #: True if the present run began without a checkpoint.
+        #: True if the current run began without a checkpoint.
         self.from_beginning = False
-        #: Elapsed time, progress and run at the look from which speed is judged.
+        #: Elapsed time, progress and run at the poll from which speed is measured.
         self.sample_at = 0.0
         self.sample_percent = 0
         self.sample_run = 0
-        #: How often it was moved for standing still.
+        #: How often it was moved to another worker for lack of progress.
         self.relocations = 0
-        #: Share of its speed in percent that the run was last allowed.
+        #: Last speed limit of the run, in percent of its full speed.
         self.speed_limit = 100
-        #: Elapsed time at which its speed was last changed.
+        #: Elapsed time at which its speed limit was last changed.
         self.throttled_at = 0.0
         #: Elapsed time before which no further run starts.
         self.not_before = 0.0
-        #: Elapsed time since when the tail of a latency-critical task is too high.
+        #: Elapsed time since when the tail latency exceeds the target; None if not.
         self.latency_high_since: float | None = None
-        #: Elapsed time at which the worker answered the run's stop, if it has.
+        #: Elapsed time at which the worker answered the stop of the run; None if it
+        #: has not.
         self.stop_confirmed_at: float | None = None
-        #: Worker on which a run failed; another one is tried next.
+        #: Worker on which the last run failed; the next one is tried elsewhere.
         self.avoided_worker = ""
 
     @property
     def step(self) -> messages.Step:
-        """Return what the task needs."""
+        """Return the step of the task."""
         return self.step_run.step
 
     @property
     def live(self) -> bool:
-        """Tell whether a run may exist on a worker."""
+        """Return whether a run may exist on a worker."""
         return self.phase in LIVE
 
     @property
     def has_record(self) -> bool:
-        """Tell whether it is neither as new nor done, and so has a row."""
+        """Return whether it has begun and is not done, and so has a row."""
         if self.phase is Phase.DONE:
             return False
         return self.run > 0 or self.phase is not Phase.WAITING
@@ -225,27 +229,28 @@
         self.tasks = [Task(self, index) for index in range(self.step.count)]
         #: How many of the tasks are done.
         self.done_count = 0
-        #: Seconds that whole runs of its tasks took together, and their count.
+        #: Total seconds of its tasks' runs without a checkpoint, and their count.
         self.measured_seconds = 0.0
         self.measured_runs = 0
-        #: Sum of the logarithms of its tasks' progress in a second, and their count.
+        #: Sum of the logarithms of its tasks' progress per second, and their count.
         self.log_rate_sum = 0.0
         self.rate_samples = 0
-        #: Elapsed time since when some of the tasks have found no room.
+        #: Elapsed time since when some of the tasks could not be placed.
         self.blocked_since: float | None = None
-        #: Number of the latest change of a worker at its last search that left tasks
-        #: over, and elapsed time from which all workers are searched again.
+        #: Number of the latest worker change at the last search that left tasks
+        #: unplaced, and elapsed time from which all workers are searched again.
         self.searched_change = 0
         self.full_search_at = 0.0
-        #: Tickets by worker, where the queue needs them, and until when they hold.
+        #: Tickets by worker, if the queue needs them, and the end of their validity.
         self.tickets: dict[str, str] = {}
         self.tickets_valid_until = 0.0
-        #: Workers that may run it now; None if any may.
+        #: Workers that may run it now; None for any.
         self.allowed_workers: frozenset[str] | None = None
-        #: Workers that may, and may not, run the step; this does not change.
+        #: Workers that the advice service has approved and refused for the step; its
+        #: answers are final.
         self.approved_workers: set[str] = set()
         self.refused_workers: set[str] = set()
-        #: True while a call for advice is on its way; elapsed time of the next one.
+        #: True while a call for advice is pending; elapsed time of the next call.
         self.advice_pending = False
         self.next_advice_at = 0.0
 
@@ -256,17 +261,17 @@
 
     @property
     def failures(self) -> int:
-        """Return the most failed runs that count against one task, or the gang."""
+        """Return the failed runs of the whole gang, or the maximum of any one task."""
         failures = [task.failures for task in self.tasks]
         return sum(failures) if self.step.gang else max(failures)
 
     @property
     def all_done(self) -> bool:
-        """Tell whether all tasks are done."""
+        """Return whether all tasks are done."""
         return self.done_count == len(self.tasks)
 
     def any_waiting(self) -> bool:
-        """Tell whether a task waits to be started."""
+        """Return whether any task waits to be started."""
         return any(task.phase is Phase.WAITING for task in self.tasks)
 
     def waiting(self) -> list[Task]:
@@ -275,7 +280,7 @@
 
 
 class JobProgress:
-    """A job that is not over, or whose last runs have yet to end."""
+    """A job that has not ended, or whose last runs have not ended yet."""
 
     def __init__(self, job: messages.Job, key: str = "") -> None:
         self.job = job
@@ -283,7 +288,7 @@
         self.key = key
         self.state = messages.State.QUEUED
         self.cancelled = False
-        #: True once a worker has said that a task of it runs or has ended. It comes
+        #: True once a worker has reported that a task of it runs or has ended. That is
         #: later than `RUNNING`, which is recorded before the first start is sent.
         self.started = False
         self.steps = {
@@ -291,29 +296,29 @@
             for occurrence in range(job.occurrences)
             for number in range(len(job.steps))
         }
-        #: Bytes that the record has for tasks that are not done, and whether some of
-        #: these may have to wait until others make room.
+        #: Bytes in the record for tasks that are not done, and whether they may not
+        #: suffice for all of them at the same time.
         self.spare_bytes = sizes.spare_bytes(job)
         count = sum(len(step_run.tasks) for step_run in self.steps.values())
-        self.tight = (
+        self.record_limited = (
             count * (sizes.TASK_BYTES + sizes.MAX_NAME_BYTES) > self.spare_bytes
         )
-        #: Wall time from which the record may be dropped, once the job is over.
+        #: Wall time from which the record may be dropped, once the job has ended.
         self.drop_at = 0.0
-        #: True once its row was given to be cleared.
+        #: True once the removal of its row was requested.
         self.cleanup_requested = False
 
     @property
     def ended(self) -> bool:
-        """Tell whether the job has reached a state that it never leaves."""
+        """Return whether the job is in a terminal state."""
         return self.state in messages.FINAL
 
     def tasks(self) -> cabc.Iterator[Task]:
-        """Go through all tasks."""
+        """Iterate over all tasks."""
         for step_run in self.steps.values():
             yield from step_run.tasks
 
-    def find_task(self, occurrence: int, step: int, index: int) -> Task | None:
+    def find(self, occurrence: int, step: int, index: int) -> Task | None:
         """Return a task by its numbers, or None if the job has no such task."""
         step_run = self.steps.get((occurrence, step))
         if step_run is None or not 0 <= index < len(step_run.tasks):
@@ -321,7 +326,7 @@
         return step_run.tasks[index]
 
     def ready_steps(self, wall: float) -> list[StepRun]:
-        """Return the steps whose turn has come at wall time `wall`."""
+        """Return the steps that are due and whose predecessors are done."""
         if self.ended or self.cancelled:
             return []
         return [
@@ -342,11 +347,11 @@
         )
 
     def all_done(self) -> bool:
-        """Tell whether every task is done."""
+        """Return whether every task is done."""
         return all(step_run.all_done for step_run in self.steps.values())
 
     def mark_done(self, task: Task) -> None:
-        """Note that a run of the task ended done."""
+        """Mark a task as done."""
         if task.phase is not Phase.DONE:
             task.phase = Phase.DONE
             task.step_run.done_count += 1
@@ -354,29 +359,32 @@
         task.checkpoint = ""
 
     def select_recordable(self, step_run: StepRun, tasks: list[Task]) -> list[Task]:
-        """Return those of a step's waiting tasks that the record may have room for.
+        """Return the waiting tasks of a step that fit into the record, if started.
 
-        Those that have a row already come first. When all began, the record of a job
-        of thousands was longer than a row may be, and the leader sent it for ever.
+        Tasks that already have a row come first. Without this limit the record of a job
+        with thousands of tasks exceeded the maximum row length, and the leader sent it
+        again for ever.
         """
-        if not self.tight:
+        if not self.record_limited:
             return tasks
-        again = [task for task in tasks if task.run]
-        room = max(self._room() - sizes.MAX_NAME_BYTES, 0) // sizes.TASK_BYTES
-        found = again + [task for task in tasks if not task.run][:room]
-        if step_run.step.gang and len(found) < len(tasks):
+        with_row = [task for task in tasks if task.run]
+        room = (
+            max(self._record_space_left() - sizes.MAX_NAME_BYTES, 0) // sizes.TASK_BYTES
+        )
+        selected = with_row + [task for task in tasks if not task.run][:room]
+        if step_run.step.gang and len(selected) < len(tasks):
             return []
-        return found
+        return selected
 
     def count_recordable(self, chosen: cabc.Sequence[tuple[Task, str]]) -> int:
-        """Return how many of these tasks, in order, may begin on these workers.
+        """Return how many of these tasks, in order, fit into the record.
 
-        A new one leaves room for the longest name, so that when all wait again one of
-        them can go on.
+        A task without a row leaves space for the longest worker name, so that one task
+        can be started even when all tasks with a row are waiting again.
         """
-        if not self.tight:
+        if not self.record_limited:
             return len(chosen)
-        room = self._room()
+        room = self._record_space_left()
         names = {task.worker for task in self.tasks()}
         for count, (task, name) in enumerate(chosen):
             if not task.has_record:
@@ -388,10 +396,10 @@
                 return count
         return len(chosen)
 
-    def _room(self) -> int:
-        """Return how many bytes more the record may take."""
-        # `Task.begun` written out: each round asks this of large jobs, and calling it
-        # took 2.1 ms in place of 0.3 ms for 5,000 tasks.
+    def _record_space_left(self) -> int:
+        """Return the number of bytes that are left in the record."""
+        # `Task.has_record` is inlined: this runs in each round for large jobs, and the
+        # calls took 2.1 ms instead of 0.3 ms for 5,000 tasks.
         new, done = Phase.WAITING, Phase.DONE
         begun = [
             task
@@ -404,7 +412,7 @@
         return self.spare_bytes - taken - len(begun) * sizes.TASK_BYTES
 
     def record(self, checkpoints: bool = True) -> JobRecord:
-        """Return what is to be kept of the present progress."""
+        """Return the record of the current progress."""
         if self.ended:
             return JobRecord(state=self.state, drop_at=self.drop_at)
         workers: dict[str, int] = {}
@@ -443,43 +451,43 @@
         )
 
     def restore(self, record: JobRecord) -> None:
-        """Take over the progress that an earlier leader kept.
+        """Restore the progress that an earlier leader recorded.
 
-        A task that may run somewhere comes back as doubtful: its worker has to be
-        asked before anything else happens to it.
+        A task that may be running becomes `DOUBTFUL`: its worker must be polled before
+        anything else is done with it.
         """
         self.state = record.state
         self.drop_at = record.drop_at
         for done in record.done:
             self._restore_done(DoneRecord(*done))
         for row in record.tasks:
-            kept = TaskRecord(*row)
-            task = self.find_task(kept.occurrence, kept.step, kept.index)
+            stored = TaskRecord(*row)
+            task = self.find(stored.occurrence, stored.step, stored.index)
             if task is None:
                 continue
-            task.run = kept.run
-            task.failures = kept.failures
-            task.checkpoint = kept.checkpoint
-            self.started |= kept.failures > 0 or bool(kept.checkpoint)
-            if kept.worker >= 0:
-                task.worker = record.workers[kept.worker]
+            task.run = stored.run
+            task.failures = stored.failures
+            task.checkpoint = stored.checkpoint
+            self.started |= stored.failures > 0 or bool(stored.checkpoint)
+            if stored.worker >= 0:
+                task.worker = record.workers[stored.worker]
                 task.phase = Phase.DOUBTFUL
 
         for crashed in record.crashes:
             self._restore_crashes(CrashRecord(*crashed))
 
-    def _restore_crashes(self, kept: CrashRecord) -> None:
-        task = self.find_task(kept.occurrence, kept.step, kept.index)
+    def _restore_crashes(self, stored: CrashRecord) -> None:
+        task = self.find(stored.occurrence, stored.step, stored.index)
         if task is not None:
-            task.crashes = kept.crashes
-            task.certain_crashes = kept.certain_crashes
+            task.crashes = stored.crashes
+            task.certain_crashes = stored.certain_crashes
             task.suspect = True
 
-    def _restore_done(self, kept: DoneRecord) -> None:
-        step_run = self.steps.get((kept.occurrence, kept.step))
+    def _restore_done(self, stored: DoneRecord) -> None:
+        step_run = self.steps.get((stored.occurrence, stored.step))
         if step_run is None:
             return
-        bits = int(kept.tasks, DONE_BASE)
+        bits = int(stored.tasks, DONE_BASE)
         for task in step_run.tasks:
             if bits >> task.index & 1:
                 self.started = True
@@ -487,39 +495,40 @@
 
 
 def done_row(step_run: StepRun) -> tuple[int, int, str]:
-    """Return the row of `DoneRecord` for a step."""
+    """Return the `DoneRecord` of a step as a row."""
     bits = sum(1 << task.index for task in step_run.tasks if task.phase is Phase.DONE)
     return step_run.occurrence, step_run.number, f"{bits:x}"
 
 
-def encode_record(record: JobRecord) -> str:
-    """Return the text of a record."""
+def encode(record: JobRecord) -> str:
+    """Encode a record."""
     return codec.to_json(record)
 
 
 def encode_job(job: JobProgress) -> str:
-    """Return the text of a job's record, which fits a row.
+    """Encode a job's record so that it fits into a row.
 
-    Without checkpoints it always does, also with crashes of each task, and the next
-    leader can do without them: it starts what has ended meanwhile from the beginning.
+    If it is too long, checkpoints are left out. It always fits without them, even with
+    crashes of every task. The next leader then restarts runs that have ended in the
+    meantime from the beginning.
     """
-    text = encode_record(job.record())
+    text = encode(job.record())
     if len(text.encode()) <= table.MOST_VALUE:
         return text
-    return encode_record(job.record(checkpoints=False))
+    return encode(job.record(checkpoints=False))
 
 
-def decode_record(text: str) -> JobRecord:
-    """Return the record in a text, or raise `codec.DecodeError`.
+def decode(text: str) -> JobRecord:
+    """Decode a record, or raise `codec.DecodeError`.
 
-    A row that `restore` could not follow raises too: it would end the takeover of all
-    jobs for the sake of one.
+    Also raises for rows on which `JobProgress.restore` would fail: one such job would
+    make the takeover of all jobs fail.
     """
     record = codec.from_json(text, JobRecord)
     for row in record.tasks:
         if TaskRecord(*row).worker >= len(record.workers):
-            raise codec.DecodeError(f"no such worker: {row}")
+            raise codec.DecodeError(f"task row with an unknown worker index: {row}")
     for done in record.done:
-        if not DONE_TASKS.fullmatch(DoneRecord(*done).tasks):
-            raise codec.DecodeError(f"not hexadecimal: {done}")
+        if not HEX_DIGITS.fullmatch(DoneRecord(*done).tasks):
+            raise codec.DecodeError(f"done tasks are not a hexadecimal number: {done}")
     return record
--- a/src/mangosail/scheduler/row_watcher.py
+++ b/src/mangosail/scheduler/row_watcher.py
@@ -1,4 +1,4 @@
-"""Following the rows of a kind: read once, then their changes, one greenlet each."""
+"""Watching the rows under a prefix: one full read, then long polls for changes."""
 
 import collections.abc as cabc
 
@@ -13,31 +13,31 @@
 
 log = logbook.Logger("following")
 
-#: Seconds before a failed reading is tried again.
+#: Seconds before a failed read is repeated.
 RETRY_INTERVAL_S = 0.2
-#: Bytes of changes that are read however long a row is: a narrow link takes 0.1 s.
-SMALL_CHANGES = 65_536
-#: Seconds for which one request waits for changes. A connection that went silent
-#: is found by the end of this and the client's own time limit.
-WAIT = 1.0
+#: Size of changes that is always accepted: 0.1 s on a slow link.
+MIN_CHANGES_LIMIT_BYTES = 65_536
+#: Seconds for which a long poll waits for changes. A connection that went silent is
+#: detected after this and the client's own time-out.
+LONG_POLL_WAIT_S = 1.0
 
 
-class Arrival:
-    """The answer to one reading of a follower, from its first part to its end."""
+class ResponseTracker:
+    """Tracks the response to one read of a watcher, from its first chunk to its end."""
 
     def __init__(self, watcher: "RowWatcher") -> None:
         self.watcher = watcher
         self.started = False
 
     def on_data(self) -> None:
-        """Note that a part has come."""
+        """Record that a chunk has arrived."""
         self.watcher.last_data_at = self.watcher.clock.elapsed()
         if not self.started:
             self.started = True
             self.watcher.active_responses += 1
             self.watcher.idle.clear()
 
-    def __enter__(self) -> "Arrival":
+    def __enter__(self) -> "ResponseTracker":
         return self
 
     def __exit__(self, *raised: object) -> None:
@@ -49,12 +49,13 @@
 
 
 class RowWatcher:
-    """Passes the rows under a prefix on, whole at first and then as they change.
+    """Delivers all rows under a prefix at first, and then their changes.
 
-    `take` gets the changes, and True if they are all rows there are. With `latest_only`
-    the rows are few, and in place of changes that are much longer than a row was, all
-    rows are read. Changes hold each version that was missed: an instance with a narrow
-    link, four versions of a large configuration behind, took four times as long.
+    `on_changes` receives the changes, and True if they contain all existing rows.
+    `latest_only` is for prefixes with few rows: if the changes are much longer than a
+    row, all rows are read instead. Changes contain every version that was missed, so
+    catching up over four versions of a large configuration took four times as long on
+    a slow link.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         on_changes: cabc.Callable[[ports.Changes, bool], None],
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        wait: float = WAIT,
+        wait: float = LONG_POLL_WAIT_S,
         latest_only: bool = False,
     ) -> None:
         self.rows = rows
@@ -74,80 +75,80 @@
         self.counters = counters
         self.wait = wait
         self.latest_only = latest_only
-        #: Bytes of the longest text of a row, as last read.
+        #: Bytes of the longest value at the last read that returned rows.
         self.longest_value_bytes = 0
-        #: Version to go on from, or None if all rows must be read.
+        #: Version to read changes from, or None if all rows must be read.
         self.version: int | None = None
-        #: Elapsed time at which all that had changed was last known.
+        #: Elapsed time up to which all changes are known.
         self.fresh_at: float | None = None
-        #: Elapsed time at which a part of an answer last came.
+        #: Elapsed time at which a chunk of a response last arrived.
         self.last_data_at: float | None = None
-        #: Number of the latest reading that was begun, of the latest of those that went
-        #: well, and how many have failed.
+        #: Number of the latest read that was started and of the latest that succeeded,
+        #: and the count of failed ones.
         self.reads_started = 0
-        self.read_through = 0
+        self.latest_successful_read = 0
         self.failed_reads = 0
-        #: Answers that are arriving now, and whether there are none.
+        #: Number of responses that are arriving, and an event that is set if none is.
         self.active_responses = 0
         self.idle = gevent.event.Event()
         self.idle.set()
-        #: Reads for those who ask for what has changed until now.
-        self.refreshing: gevent.Greenlet | None = None
+        #: The read that callers of `refresh` share.
+        self.refresh_read: gevent.Greenlet | None = None
         #: True unless the latest request failed.
         self.reachable = True
         #: Elapsed time of the first failure since the latest success.
         self.failing_since = 0.0
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Watch for ever."""
         while True:
             self.watch_once()
 
     def watch_once(self) -> None:
-        """Wait for changes once; after a failure ask at once instead.
+        """Wait for changes once; after a failure, read without waiting.
 
-        A request that waits is answered only once its wait is over where nothing has
-        changed: callers were refused for 0.5 s more although the store was back.
+        Without changes a long poll is answered only after its wait, so callers would be
+        refused for that time (0.5 s) although the store is reachable again.
         """
         if not self.read_once(self.wait if self.reachable else 0):
             self.clock.sleep(RETRY_INTERVAL_S)
 
     def refresh(self, timeout: float) -> bool:
-        """Read what has changed until now, and tell whether that went well.
+        """Read all changes up to now, and return whether that succeeded.
 
-        Those who ask while an answer arrives wait for it, and share one reading after
-        it: each made the same rows be sent once more, and on a narrow link all of them
-        came as many times later. A reading that failed meanwhile is not repeated for
-        each. Nobody is kept for more than `term` seconds; what is arriving by then is
-        there for those who come later.
+        Concurrent callers wait for a response that is already arriving, then share one
+        read. With a read for each caller, the same rows are sent many times, which on a
+        slow link delays all callers. A failed read is not repeated for each caller. No
+        caller waits for more than `timeout` seconds; a response that is still arriving
+        then serves later callers.
         """
-        asked, failures = self.reads_started, self.failed_reads
+        started, failures = self.reads_started, self.failed_reads
         deadline = self.clock.elapsed() + timeout
-        while self.read_through <= asked:
+        while self.latest_successful_read <= started:
             left = deadline - self.clock.elapsed()
             if self.failed_reads > failures or left <= 0:
                 return False
             if self.active_responses:
                 self.idle.wait(left)
                 continue
-            if self.refreshing is None or self.refreshing.ready():
-                self.refreshing = gevent.spawn(self.read_once, 0)
-            self.refreshing.join(left)
+            if self.refresh_read is None or self.refresh_read.ready():
+                self.refresh_read = gevent.spawn(self.read_once, 0)
+            self.refresh_read.join(left)
         return True
 
     def read_once(self, wait: float) -> bool:
-        """Read once, and tell whether that went well."""
+        """Read once, and return whether that succeeded."""
         self.reads_started += 1
         number = self.reads_started
-        with Arrival(self) as arrival:
+        with ResponseTracker(self) as arrival:
             reason = self._read(wait, arrival.on_data)
         if not reason:
-            self.read_through = max(self.read_through, number)
+            self.latest_successful_read = max(self.latest_successful_read, number)
         self._record_result(reason)
         return not reason
 
     def _record_result(self, reason: str) -> None:
-        """Log that the rows are out of reach, or in reach again."""
+        """Count a failure, and log when reads begin to fail or succeed again."""
         now = self.clock.elapsed()
         if reason:
             self.failed_reads += 1
@@ -155,46 +156,48 @@
         if reason and self.reachable:
             self.failing_since = now
             log.warning(
-                "following interrupted", prefix=self.prefix, version=self.version,
+                "row watch interrupted", prefix=self.prefix, version=self.version,
                 reason=reason,
             )  # fmt: skip
         if not reason and not self.reachable:
             log.info(
-                "following again", prefix=self.prefix, version=self.version,
+                "row watch resumed", prefix=self.prefix, version=self.version,
                 seconds=round(now - self.failing_since, 3),
             )  # fmt: skip
         self.reachable = not reason
 
-    def _read(self, wait: float, heard: ports.OnData) -> str:
+    def _read(self, wait: float, on_data: ports.OnData) -> str:
         """Read once; return why that failed, or an empty text."""
         sent_at = self.clock.elapsed()
         version = self.version
         if version is None:
-            return self._read_all(sent_at, heard)
-        most = (
-            SMALL_CHANGES + self.longest_value_bytes * 3 // 2
+            return self._read_all(sent_at, on_data)
+        max_bytes = (
+            MIN_CHANGES_LIMIT_BYTES + self.longest_value_bytes * 3 // 2
             if self.latest_only
             else None
         )
-        found = self.rows.changes(self.prefix, version, wait, heard, most)
+        found = self.rows.changes(self.prefix, version, wait, on_data, max_bytes)
         if isinstance(found, result.Ok):
             if self.version is not None and self.version > found.ok_value.version:
-                # Another greenlet has read further meanwhile.
+                # Another greenlet has read a later version in the meantime.
                 return ""
             self._deliver(found.ok_value, False, sent_at)
             return ""
         if isinstance(found.err_value, ports.HistoryLost):
             self.counters.count("following.history_lost")
-            log.info("history lost", prefix=self.prefix, version=version)
-            return self._read_all(sent_at, heard)
+            log.info(
+                "history lost; reading all rows", prefix=self.prefix, version=version
+            )
+            return self._read_all(sent_at, on_data)
         if isinstance(found.err_value, ports.TooLong):
             self.counters.count("following.read_whole")
-            return self._read_all(sent_at, heard)
+            return self._read_all(sent_at, on_data)
         return found.err_value.reason
 
-    def _read_all(self, sent_at: float, heard: ports.OnData) -> str:
+    def _read_all(self, sent_at: float, on_data: ports.OnData) -> str:
         """Read all rows; return why that failed, or an empty text."""
-        found = self.rows.read_all(self.prefix, heard)
+        found = self.rows.read_all(self.prefix, on_data)
         if isinstance(found, result.Err):
             return found.err_value.reason
         self._deliver(found.ok_value, True, sent_at)
--- a/src/mangosail/scheduler/scheduler.py
+++ b/src/mangosail/scheduler/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of the instance that leads: jobs in, starts out.
+"""The scheduler that runs on the leader.
 
-It is made anew with each lease that is won and reads all it knows from the store
-and the workers. It ends once another instance leads::
+A new one is created each time this instance acquires the lease. It loads its state
+from the store and the workers, and ends once another instance leads::
 
     Scheduler(rows, calls, held, catalog, clock, counters).run()
 """
@@ -45,18 +45,18 @@
 
 log = logbook.Logger("scheduler")
 
-#: Seconds for which a job's last state is kept beyond what is promised.
-KEEP_MARGIN = 30.0
-#: Seconds for which a worker lets a lease run at most, unless the settings say it.
+#: Seconds for which the final state of a job is kept beyond the promised retention.
+RETENTION_MARGIN_S = 30.0
+#: Longest lease, in seconds, that a worker grants, unless the settings say otherwise.
 MAX_LEASE_S = 10.0
-#: Seconds between looks at whether leases of unlisted workers are over.
-EXPIRE_INTERVAL = 0.25
-#: Seconds between attempts to read everything after the lease was won.
+#: Seconds between checks for expired leases of unlisted workers.
+EXPIRY_CHECK_INTERVAL_S = 0.25
+#: Seconds between attempts to load the state after the lease was acquired.
 READ_RETRY_INTERVAL_S = 0.1
 
 
 class Scheduler:
-    """Places the tasks of all jobs on all workers, while its lease is held."""
+    """Places the tasks of all jobs on the workers while the lease is held."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         catalog: cabc.Callable[[], messages.Catalog | None],
         decode_entry: listing.Decode,
         worker_prefix: str,
-        keep_term: float,
+        retention: float,
         advisor: advice.Advisor,
         clock: clocks.Clock,
         counters: telemetry.Counters,
@@ -76,15 +76,15 @@
     ) -> None:
         self.rows = rows
         self.max_lease = max_lease
-        self.keep_term = keep_term
+        self.retention = retention
         self.clock = clock
         self.counters = counters
         self.changed = gevent.event.Event()
         self.jobs: dict[str, progress.JobProgress] = {}
-        #: States of jobs as read at the takeover, until the jobs are read.
+        #: Progress records as read at the takeover, until the jobs have been read.
         self.stored_records: dict[str, progress.JobRecord] = {}
-        #: Jobs that are over and whose rows may still be there. When all rows are
-        #: read again, they would be taken for new ones and run once more.
+        #: Ended jobs whose rows may still exist. Without this set, they would count as
+        #: new and run again whenever all rows are read again.
         self.ended_jobs: set[str] = set()
         self.workers = fleet.Fleet(closed_data_centres)
         self.listing = listing.Listing(
@@ -103,7 +103,7 @@
         self.worker_health = health.Health()
         self.journal = journal.Journal(rows, held, clock, counters)
         self.journal.pending_counts = self.pending_counts
-        self.journal.periodic_writes = self._kept_now_and_again
+        self.journal.periodic_writes = self._periodic_writes
         self.sweeper = sweeping.Sweeper(rows, self.ended_jobs.discard, clock, counters)
         self.journal.continuous_bound = self.continuous_bound
         self.journal.worker_count = self.worker_count
@@ -128,7 +128,7 @@
         self.reports = reports.ReportProcessor(
             self.find_task,
             self.on_job_change,
-            self._give_up,
+            self._fail_job,
             self.workers,
             self.orders,
             self.worker_health,
@@ -145,29 +145,29 @@
             self.orders,
             self.model,
             self.changed,
-            self._gone,
-            self._later_life,
+            self._remove_worker,
+            self._replace_incarnation,
             clock,
             counters,
         )
         self.orders.poll_now = self.poller.poll_now
         self.greenlets = gevent.pool.Group()
         self.leading_since = clock.elapsed()
-        #: True once all jobs were read.
-        self.jobs_known = False
-        #: True once all jobs are known, so that workers can be looked at.
+        #: True once all jobs have been read.
+        self.jobs_loaded = False
+        #: True once all jobs are known, so that workers can be polled.
         self.polling_started = False
 
     def run(self) -> None:
         """Schedule until another instance leads."""
         try:
             writing = self.greenlets.spawn(self.journal.run)
-            for feed in self.load():
-                self.greenlets.spawn(feed.run)
+            for watcher in self.load():
+                self.greenlets.spawn(watcher.run)
             self.polling_started = True
-            shared = yielding.CooperativeYielder(self.clock)
+            yielder = yielding.CooperativeYielder(self.clock)
             for worker in self.workers:
-                shared.yield_if_due()
+                yielder.yield_if_due()
                 self.start_polling(worker)
             self.greenlets.spawn(self.rounds.run)
             self.greenlets.spawn(self._check_fence)
@@ -180,12 +180,12 @@
             self.greenlets.kill(block=False)
 
     def stop(self) -> None:
-        """Start nothing more, and hand the lease over."""
+        """Stop placing tasks and release the lease."""
         self.rounds.stopping = True
         self.journal.release()
 
     def find_task(self, name: str) -> progress.Task | None:
-        """Return the task of that name, or None if no job has it."""
+        """Return a task by name, or None if there is no such task."""
         job_id, _, numbers = name.partition(".")
         job = self.jobs.get(job_id)
         if job is None:
@@ -194,16 +194,16 @@
         if len(parts) != 3 or not all(part.isdigit() for part in parts):
             return None
         occurrence, step, index = map(int, parts)
-        return job.find_task(occurrence, step, index)
+        return job.find(occurrence, step, index)
 
     def pending_counts(self) -> dict[str, int]:
-        """Return how many accepted jobs of each queue have not begun.
+        """Return the number of accepted jobs per queue that have not started.
 
-        A job whose starts are on their way, in doubt or were refused has not begun.
-        Until all jobs were read the earlier leader's counts stay in force: those of the
-        jobs read so far told callers that nothing waits, for seconds with many jobs.
+        A job whose starts are pending, in doubt or refused has not started. Until all
+        jobs have been read, the counts of the earlier leader are returned: with many
+        jobs, partial counts told callers for seconds that nothing is waiting.
         """
-        if not self.jobs_known:
+        if not self.jobs_loaded:
             return self.journal.held.lease.pending
         counts: dict[str, int] = {}
         for job in self.jobs.values():
@@ -212,40 +212,40 @@
         return counts
 
     def continuous_bound(self) -> float | None:
-        """Return the cores that continuous jobs may take; None if not known yet."""
+        """Return the cores that continuous jobs may reserve; None if not known yet."""
         if not self.polling_started:
             return self.journal.held.lease.continuous_bound
         return admission.continuous_core_limit(self.workers) or None
 
     def worker_count(self) -> int:
-        """Return how many workers are attended to; the earlier leader's before that."""
+        """Return the number of polled workers; at first that of the earlier leader."""
         if not self.polling_started:
             return self.journal.held.lease.workers
         return len(self.workers)
 
-    def _kept_now_and_again(self) -> tuple[table.Write, ...]:
+    def _periodic_writes(self) -> tuple[table.Write, ...]:
         text = codec.to_json(self.model.snapshot())
         return (table.Write(keys.LEARNED, text),)
 
-    # What the store holds.
+    # State in the store.
 
     def load(self) -> tuple[row_watcher.RowWatcher, ...]:
-        """Read jobs, their states and the workers; the lease is ours by now.
+        """Read workers, progress records and jobs, after the lease was acquired.
 
-        Returns what goes on to follow them.
+        Returns the watchers that deliver further changes.
         """
         workers = row_watcher.RowWatcher(
             self.rows,
             self.listing.prefix,
-            self._take_workers,
+            self._process_worker_changes,
             self.clock,
             self.counters,
         )
         jobs = row_watcher.RowWatcher(
-            self.rows, keys.JOBS, self._take_jobs, self.clock, self.counters
+            self.rows, keys.JOBS, self._process_job_changes, self.clock, self.counters
         )
-        # Workers first: a job that was cancelled meanwhile stops its runs at once,
-        # and needs to know where they are.
+        # Workers come first: a job that was cancelled in the meantime stops its runs
+        # as soon as it is read, for which their workers must be known.
         while not workers.read_once(0):
             self.clock.sleep(READ_RETRY_INTERVAL_S)
         self.stored_records = self._read_states()
@@ -253,7 +253,7 @@
         while not jobs.read_once(0):
             self.clock.sleep(READ_RETRY_INTERVAL_S)
         self.stored_records = {}
-        self.jobs_known = True
+        self.jobs_loaded = True
         self.listing.enforce_limit()
         log.info(
             "took over", jobs=len(self.jobs), workers=len(self.workers),
@@ -263,16 +263,18 @@
         return workers, jobs
 
     def _read_learned(self) -> None:
-        """Take over what was learned; without it latencies would rise anew."""
+        """Restore learned interference, without which latencies would rise again."""
         found = self.rows.read([keys.LEARNED])
         row = found.ok_value.get(keys.LEARNED) if isinstance(found, result.Ok) else None
         if row is None:
-            log.info("nothing learned yet", read=isinstance(found, result.Ok))
+            log.info(
+                "no learned interference restored", read=isinstance(found, result.Ok)
+            )
             return
         try:
             self.model.restore(codec.from_json(row.value, interference.ModelSnapshot))
         except codec.DecodeError as exc:
-            self._unreadable(row.key, exc)
+            self._report_unreadable(row.key, exc)
 
     def _read_states(self) -> dict[str, progress.JobRecord]:
         while True:
@@ -281,28 +283,28 @@
                 break
             self.clock.sleep(READ_RETRY_INTERVAL_S)
         states = {}
-        shared = yielding.CooperativeYielder(self.clock)
+        yielder = yielding.CooperativeYielder(self.clock)
         for row in found.ok_value.rows:
-            shared.yield_if_due()
+            yielder.yield_if_due()
             job_id = keys.job_id(row.key)
             try:
-                states[job_id] = progress.decode_record(row.value)
+                states[job_id] = progress.decode(row.value)
             except codec.DecodeError as exc:
-                # What has run of it is not known, so nothing of it may start again.
+                # It is unknown which tasks have run, so none may be started again.
                 self.ended_jobs.add(job_id)
-                self._unreadable(row.key, exc)
+                self._report_unreadable(row.key, exc)
         return states
 
-    def _unreadable(self, key: str, error: codec.DecodeError) -> None:
+    def _report_unreadable(self, key: str, error: codec.DecodeError) -> None:
         self.counters.count("scheduler.row_unreadable")
-        log.error("row unreadable", key=key, error=str(error))
+        log.error("row cannot be decoded", key=key, error=str(error))
 
-    def _take_jobs(self, changes: ports.Changes, whole: bool) -> None:
-        """Take in new jobs and requests to cancel."""
-        shared = yielding.CooperativeYielder(self.clock)
+    def _process_job_changes(self, changes: ports.Changes, whole: bool) -> None:
+        """Process new jobs and cancellation requests."""
+        yielder = yielding.CooperativeYielder(self.clock)
         for row in changes.rows:
             if not keys.is_cancellation(row.key):
-                shared.yield_if_due()
+                yielder.yield_if_due()
                 self._accept(row.key, row.value)
         for row in changes.rows:
             if keys.is_cancellation(row.key):
@@ -320,7 +322,7 @@
         try:
             job = codec.from_json(text, messages.Job)
         except codec.DecodeError as exc:
-            self._unreadable(key, exc)
+            self._report_unreadable(key, exc)
             return
         held = progress.JobProgress(job, key)
         record = self.stored_records.get(job.job_id)
@@ -336,10 +338,10 @@
         log.info("job taken", job=job.job_id, queue=job.queue, waited=waited)
         for task in held.tasks():
             if task.live:
-                self._await_worker(task)
+                self._reserve_inherited_run(task)
 
-    def _await_worker(self, task: progress.Task) -> None:
-        """Set the room aside of a task that an earlier leader may have started."""
+    def _reserve_inherited_run(self, task: progress.Task) -> None:
+        """Reserve the resources of a task that an earlier leader may have started."""
         worker = self.workers.get(task.worker)
         if worker is None:
             unknown = messages.WorkerEntry(
@@ -358,16 +360,16 @@
         log.info("cancelling", job=job_id)
         self._end_job(job, messages.State.CANCELLED)
 
-    def _take_workers(self, changes: ports.Changes, whole: bool) -> None:
+    def _process_worker_changes(self, changes: ports.Changes, whole: bool) -> None:
         self.listing.apply_changes(changes, whole)
         self.changed.set()
 
     def check_same_address(self, entry: messages.WorkerEntry) -> None:
-        """Ask workers whose address an entry names whether their life is over.
+        """Poll other workers with the address of an entry, which may have ended.
 
-        The entry itself does not say which of the two is the earlier one: that of
-        an earlier life can be written once more after the later one's. To take the
-        later one for dead would let its tasks run twice.
+        The entry does not tell which of the two is the earlier incarnation: an entry of
+        an earlier one may be written again after that of the later one. Removing the
+        later one by mistake would let its tasks run twice.
         """
         for worker in self.workers:
             if worker.entry.address == entry.address:
@@ -376,12 +378,12 @@
     def check_incarnation(
         self, worker: fleet.Worker, entry: messages.WorkerEntry
     ) -> None:
-        """Find out which life of a worker answers where an entry says."""
+        """Poll the address of an entry to see which incarnation answers."""
         if self.polling_started:
             self.greenlets.spawn(self.poller.check_incarnation, worker, entry)
 
     def add(self, entry: messages.WorkerEntry) -> fleet.Worker:
-        """Begin to know a worker."""
+        """Add a worker to the fleet."""
         worker = self.workers.add(entry)
         worker.inherited_runs_until = (
             self.leading_since
@@ -392,44 +394,45 @@
         return worker
 
     def start_polling(self, worker: fleet.Worker) -> None:
-        """Begin to look at a worker."""
-        # A look before all jobs are known would take their runs for unwanted ones.
+        """Start polling a worker."""
+        # Before all jobs are known, a poll would treat their runs as unknown and stop
+        # them.
         if not self.polling_started or not worker.entry.address:
             return
         log.info(
-            "worker seen", worker=worker.name, address=worker.entry.address,
+            "polling worker", worker=worker.name, address=worker.entry.address,
             data_centre=worker.entry.data_centre, labels=sorted(worker.entry.labels),
         )  # fmt: skip
         self.greenlets.spawn(self.poller.poll_until_removed, worker)
 
     def stop_polling(self, worker: fleet.Worker) -> None:
-        """Attend no longer to a worker that is well and runs nothing."""
+        """Stop polling a worker that is healthy and runs nothing."""
         self.workers.remove(worker)
         self.worker_health.forget(worker)
 
-    def _later_life(
-        self, worker: fleet.Worker, look: messages.WorkerReport
+    def _replace_incarnation(
+        self, worker: fleet.Worker, report: messages.WorkerReport
     ) -> fleet.Worker:
-        """Begin to know the life that has answered a look at a worker."""
-        later = self.workers.replace_incarnation(
-            worker, look.incarnation, self.clock.elapsed()
+        """Replace a worker by its next incarnation, which has answered a poll."""
+        successor = self.workers.replace_incarnation(
+            worker, report.incarnation, self.clock.elapsed()
         )
-        later.max_stray_lease = self.max_lease
+        successor.max_stray_lease = self.max_lease
         self.worker_health.forget(worker)
         self._void_tickets(worker)
-        self.reports.handle_worker_lost(worker, "restarted", later)
-        self.start_polling(later)
+        self.reports.handle_worker_lost(worker, "restarted", successor)
+        self.start_polling(successor)
         self.changed.set()
-        return later
+        return successor
 
     def _void_tickets(self, worker: fleet.Worker) -> None:
-        """Forget the tickets for an earlier life; the later one refuses them."""
+        """Drop tickets for an earlier incarnation, which the later one would refuse."""
         for job in self.jobs.values():
             for step_run in job.steps.values():
                 step_run.tickets.pop(worker.name, None)
 
-    def _gone(self, worker: fleet.Worker, why: str) -> None:
-        """Forget a worker whose life is over, and free its tasks."""
+    def _remove_worker(self, worker: fleet.Worker, why: str) -> None:
+        """Remove a worker that has ended, and let its tasks run elsewhere."""
         if worker.removed:
             return
         self.workers.remove(worker)
@@ -438,37 +441,37 @@
         self.changed.set()
 
     def expire_forever(self) -> None:
-        """Free what an earlier leader started on workers that nobody lists.
+        """Free tasks that an earlier leader started on workers that are not listed.
 
-        Workers that came before the configuration that names their pool are used too,
-        and those beyond the reach in place of others that are gone.
+        Also starts to use workers whose pool has been configured since they were
+        listed, and workers beyond the limit in place of others that were removed.
         """
         while True:
-            self.clock.sleep(EXPIRE_INTERVAL)
+            self.clock.sleep(EXPIRY_CHECK_INTERVAL_S)
             self.listing.recheck_pools()
             self.listing.rebalance()
             now = self.clock.elapsed()
             for worker in self.workers:
                 if not worker.entry.address and worker.lease_expired(now):
-                    self._gone(worker, "never_listed")
+                    self._remove_worker(worker, "never_listed")
 
     def evacuate(self, worker: fleet.Worker) -> None:
-        """Move what would be cut off when a draining worker leaves."""
+        """Move tasks that a draining worker would otherwise interrupt."""
         for task in list(worker.tasks.values()):
             moves = task.step.continuous or task.step.checkpointing
             if moves and task.phase is progress.Phase.RUNNING:
                 self.orders.stop(task, worker, "evacuation")
 
-    # What becomes of jobs.
+    # Job states.
 
     def on_job_change(self, job: progress.JobProgress) -> None:
-        """Take note that tasks of a job have ended or wait again."""
+        """Update and record a job of which tasks have ended or wait again."""
         if not job.ended:
-            self._judge(job)
+            self._update_state(job)
         self.journal.record(job)
         self.changed.set()
 
-    def _judge(self, job: progress.JobProgress) -> None:
+    def _update_state(self, job: progress.JobProgress) -> None:
         if job.all_done():
             self._end_job(job, messages.State.COMPLETED)
             return
@@ -477,16 +480,16 @@
                 self._end_job(job, messages.State.FAILED)
                 return
 
-    def _give_up(self, job: progress.JobProgress) -> None:
-        """End a job of which a task crashes the workers that start it."""
+    def _fail_job(self, job: progress.JobProgress) -> None:
+        """Fail a job of which a task crashes the workers that run it."""
         self.counters.count("scheduler.jobs_given_up")
-        log.warning("job given up", job=job.job.job_id)
+        log.warning("job failed for crashing workers", job=job.job.job_id)
         self._end_job(job, messages.State.FAILED)
 
     def _end_job(self, job: progress.JobProgress, state: messages.State) -> None:
         job.state = state
         self.ended_jobs.add(job.job.job_id)
-        job.drop_at = self.clock.wall() + self.keep_term + KEEP_MARGIN
+        job.drop_at = self.clock.wall() + self.retention + RETENTION_MARGIN_S
         self.counters.count(f"scheduler.jobs_ended.{state.value}")
         took = round(self.clock.wall() - job.job.accepted_at, 3)
         log.info("job ended", job=job.job.job_id, state=state.value, took=took)
@@ -500,7 +503,7 @@
         self.journal.when_durable(lambda: self._drop_job(job))
 
     def _drop_job(self, job: progress.JobProgress) -> None:
-        """Drop a job whose end is durable, once nothing of it runs."""
+        """Drop a job whose end is durable, once no runs of it are left."""
         if not job.cleanup_requested:
             job.cleanup_requested = True
             self.sweeper.job_ended(job.key, job.drop_at)
@@ -509,11 +512,14 @@
             return
         self.jobs.pop(job.job.job_id, None)
         for task in job.tasks():
-            # Loads of tasks that ended would add up for as long as this one leads.
+            # The model would otherwise keep the loads of ended tasks while this leads.
             self.model.forget(task)
 
     def _check_fence(self) -> None:
-        """See at the store whether a worker that has a higher token is right."""
+        """Renew the lease at once after a worker has rejected the token.
+
+        The store then shows whether another instance really leads.
+        """
         while True:
             self.orders.fenced.wait()
             self.counters.count("scheduler.fenced")
--- a/tests/adapter/steps/narrow_uplinks_steps.py
+++ b/tests/adapter/steps/narrow_uplinks_steps.py
@@ -45,7 +45,7 @@
     )
     task = next(job.tasks())
     task.run = 1
-    task.checkpoint = "x" * (size - len(progress.encode_record(job.record())))
+    task.checkpoint = "x" * (size - len(progress.encode(job.record())))
     return job
 
 
@@ -63,7 +63,7 @@
     context.add_cleanup(writing.kill)
     for job in context.jobs:
         context.journal.record(job)
-        context.journal.then(lambda job=job: called_back(context, job))
+        context.journal.when_durable(lambda job=job: called_back(context, job))
 
 
 def called_back(context, job):
--- a/tests/scheduler/fakes.py
+++ b/tests/scheduler/fakes.py
@@ -1,7 +1,7 @@
-"""A store and workers in memory, and an instance that leads, driven by hand.
+"""In-memory store and workers, and a leader that tests drive step by step.
 
-Nothing happens by itself: `Leader.round` looks at every worker, places, writes and
-sends, and time passes only when a test says so.
+Nothing runs in the background: `Leader.round` polls every worker, places tasks, writes
+and sends orders, and time advances only when a test sets it.
 """
 
 import collections
@@ -33,29 +33,29 @@
 CAPACITY = resources.Resources(cpus=8, memory_gb=32)
 NEED = resources.Resources(cpus=2, memory_gb=1)
 MINUTE = 60.0
-#: Seconds after which a client gives up a silent connection.
-UNANSWERED = 3.0
-#: Milliseconds for which a worker lets a lease run at most.
-LONGEST_LEASE = 6000
-#: Seconds after which a leader has to know that a worker's capacity has shrunk.
-SHRUNK_TERM = 4.5
+#: Seconds after which a client gives up on a connection without an answer.
+CLIENT_TIMEOUT_S = 3.0
+#: Longest lease, in milliseconds, that a worker grants.
+MAX_LEASE_MS = 6000
+#: Seconds within which a leader must know that a worker's capacity has shrunk.
+CAPACITY_CHANGE_S = 4.5
 
 
 class Rows:
-    """The store; faults are armed on it and last until they are taken away."""
+    """The store; a fault that is set on it lasts until it is reset."""
 
     def __init__(self):
         self.kept = memory.Rows()
         self.history = []
-        #: "", "down" (says so), "lost" (done, not answered), "late" (done later),
-        #: "unanswered" (done, and the connection stays silent).
+        #: "", "down" (refuses), "lost" (applied, answer lost), "late" (applied later),
+        #: "unanswered" (applied, never answered).
         self.fault = ""
-        #: Faults of the next writes, one each, before that.
+        #: Faults of the next writes, one each, which take precedence over `fault`.
         self.once = []
         self.late = []
-        #: Bytes of a row's value at most; None if any may be written.
+        #: Maximum length of a row's value in bytes; None for no limit.
         self.most_value = None
-        #: Versions up to which the history was dropped.
+        #: Version up to which the change history was dropped.
         self.forgotten = 0
 
     def read(self, wanted):
@@ -80,7 +80,7 @@
             return result.Err(store_errors.Uncertain("late"))
         done = self._apply(transaction)
         if fault == "unanswered":
-            gevent.sleep(UNANSWERED)
+            gevent.sleep(CLIENT_TIMEOUT_S)
         if fault in ("lost", "unanswered"):
             return result.Err(store_errors.Uncertain("lost"))
         return done
@@ -95,13 +95,13 @@
             self.history += [(done.ok_value, write.key) for write in transaction.writes]
         return done
 
-    def read_all(self, prefix, heard=ports.ignore_data):
+    def read_all(self, prefix, on_data=ports.ignore_data):
         if self.fault == "down":
             return result.Err(store_errors.Unavailable("down"))
         rows = tuple(self.kept.page(prefix, "", 10**6))
         return result.Ok(ports.Changes(rows, (), self.kept.version))
 
-    def changes(self, prefix, after, wait, heard=ports.ignore_data, most=None):
+    def changes(self, prefix, after, wait, on_data=ports.ignore_data, max_bytes=None):
         if self.fault == "down":
             return result.Err(store_errors.Unavailable("down"))
         if after <= self.forgotten:
@@ -121,7 +121,7 @@
 
 
 class Worker:
-    """One life of a worker, which keeps to what the platform promises of it."""
+    """One incarnation of a worker, which behaves as the platform promises."""
 
     def __init__(
         self,
@@ -143,41 +143,43 @@
             frozenset(labels),
             incarnation=born,
         )
-        #: When its clock and its numbers of ends began.
+        #: Time at which its clock started; end numbers start at the same time.
         self.began_at = 0.0 if born is None else clock.now
         self.time = clock
         self.token = 0
         self.running = {}
         self.ended = []
-        #: Ends that were acknowledged, which it has forgotten.
+        #: Ends that were acknowledged, and so dropped by the worker.
         self.noted = []
-        #: Tasks of which a second run was started beside another one.
+        #: Tasks of which a run was started while another one was running.
         self.doubled = []
         self.barred = {}
         self.count = 0
         self.deadline = 0
-        #: "", "silent", "replaced"; for orders "lost" (done, not answered), "late".
+        #: "", "silent", "replaced"; for orders also "lost" (carried out, not answered)
+        #: and "late" (carried out later).
         self.fault = ""
-        #: True if the next start keeps its caller waiting, and is carried out late.
-        self.mute_once = False
-        #: The same for the next look.
-        self.mute_look_once = False
+        #: True if the next order is not answered, and is carried out late.
+        self.delay_next_order = False
+        #: True if the next poll is not answered.
+        self.ignore_next_poll = False
         self.late = []
         self.starts = []
-        self.paces = {}
-        #: Changes of speed that are not made and get no answer, the next ones.
-        self.unpaced = 0
+        self.speed_limits = {}
+        #: Number of next throttling orders that are neither carried out nor answered.
+        self.ignored_throttles = 0
         self.latencies = {}
         self.acknowledged = 0
         self.progress = 0
-        self.standing_still = False
+        self.stalled = False
         self.refusals = 0
         self.tickets = []
-        #: Tasks of which a start got no answer, while they may still begin.
+        #: Tasks whose start was not answered and which may still begin.
         self.unanswered = set()
-        #: True once it has crashed: it answers nothing until another life does.
+        #: True once it has crashed: nothing answers until the next incarnation starts.
         self.crashed = False
-        #: When its capacity shrank last, and starts that came to it with no room.
+        #: Time at which its capacity last shrank, and tasks started since then that
+        #: exceed it although the leader had to know.
         self.shrunk_at = 0.0
         self.overfilled = []
 
@@ -193,11 +195,11 @@
         self.barred[task] = run
 
     def extend(self, deadline):
-        longest = self.clock + LONGEST_LEASE
+        longest = self.clock + MAX_LEASE_MS
         self.deadline = max(self.deadline, min(deadline, longest))
 
     def resize(self, cpus):
-        """Change the cores that it has, while it runs."""
+        """Change the number of cores while the worker runs."""
         before = self.entry.capacity
         if cpus < before.cpus:
             self.shrunk_at = self.time.now
@@ -205,8 +207,8 @@
         self.entry = dataclasses.replace(self.entry, capacity=capacity)
 
     def check_room(self, task):
-        """Note a start for which there is no room, once that should be known."""
-        if self.time.now <= self.shrunk_at + SHRUNK_TERM:
+        """Record a start beyond the capacity, once the leader must know of it."""
+        if self.time.now <= self.shrunk_at + CAPACITY_CHANGE_S:
             return
         if len(self.running) * NEED.cpus > self.entry.capacity.cpus:
             self.overfilled.append(task)
@@ -222,31 +224,31 @@
 
 
 class Calls:
-    """Carries orders to the workers in memory."""
+    """Calls to the in-memory workers."""
 
     def __init__(self):
         self.workers = {}
-        #: Earlier lives of workers that started again under their names.
+        #: Earlier incarnations of workers that restarted under the same name.
         self.earlier = []
-        #: Tasks that crash each worker that starts them.
+        #: Tasks that crash every worker that starts them.
         self.crashing = set()
         self.on_crash = lambda worker: None
-        self.on_start_in_vain = lambda task: None
+        self.on_unanswered_start = lambda task: None
 
     def _call(self, entry, effect, order=True):
         worker = self.workers[entry.name]
         if worker.crashed and worker.fault != "replaced":
             return result.Err(errors.Silent("crashed"))
         worker.expire()
-        if worker.mute_once and order:
-            worker.mute_once = False
+        if worker.delay_next_order and order:
+            worker.delay_next_order = False
             worker.late.append(effect)
-            gevent.sleep(UNANSWERED)
-            return result.Err(errors.Silent("mute"))
-        if worker.mute_look_once and not order:
-            worker.mute_look_once = False
-            gevent.sleep(UNANSWERED)
-            return result.Err(errors.Silent("mute"))
+            gevent.sleep(CLIENT_TIMEOUT_S)
+            return result.Err(errors.Silent("no answer"))
+        if worker.ignore_next_poll and not order:
+            worker.ignore_next_poll = False
+            gevent.sleep(CLIENT_TIMEOUT_S)
+            return result.Err(errors.Silent("no answer"))
         if worker.fault == "silent":
             return result.Err(errors.Silent("silent"))
         if worker.fault == "replaced":
@@ -261,7 +263,7 @@
 
     def start(self, entry, order):
         def effect(worker):
-            reason = self._why_not(worker, order)
+            reason = self._rejection_reason(worker, order)
             if worker.refusals:
                 worker.refusals -= 1
                 reason = errors.Reason.NO_ROOM
@@ -286,10 +288,10 @@
         ):
             worker.unanswered.add(order.task)
             if worker.crashed:
-                self.on_start_in_vain(order.task)
+                self.on_unanswered_start(order.task)
         return answer
 
-    def _why_not(self, worker, order):
+    def _rejection_reason(self, worker, order):
         if order.token < worker.token:
             return errors.Reason.FENCED
         worker.token = order.token
@@ -314,10 +316,10 @@
 
     def throttle(self, entry, task, run, percent, token):
         def effect(worker):
-            if worker.unpaced:
-                worker.unpaced -= 1
-                return result.Err(errors.Silent("unpaced"))
-            worker.paces[task] = percent
+            if worker.ignored_throttles:
+                worker.ignored_throttles -= 1
+                return result.Err(errors.Silent("no answer"))
+            worker.speed_limits[task] = percent
             return result.Ok(worker.clock)
 
         return self._call(entry, effect)
@@ -331,7 +333,7 @@
             worker.noted += [e for e in worker.ended if e.number <= acknowledged]
             worker.ended = [e for e in worker.ended if e.number > acknowledged]
             worker.extend(deadline or 0)
-            worker.progress += not worker.standing_still
+            worker.progress += not worker.stalled
             running = tuple(
                 messages.RunningTask(
                     task,
@@ -344,7 +346,9 @@
             )
             ended = tuple(worker.ended)
             return result.Ok(
-                messages.WorkerReport(worker.clock, running, ended, worker.entry.born)
+                messages.WorkerReport(
+                    worker.clock, running, ended, worker.entry.incarnation
+                )
             )
 
         return self._call(entry, effect, order=False)
@@ -357,7 +361,7 @@
 
 
 class Leader:
-    """An instance that leads, taking one step when it is told to."""
+    """A leader that runs one round at a time."""
 
     def __init__(self, world, name, reads=True):
         self.world = world
@@ -370,7 +374,7 @@
             if held is not None:
                 break
             world.clock.now += 0.3
-        assert held is not None, "the lease was not won"
+        assert held is not None, "the lease was not acquired"
         self.scheduler = scheduler.Scheduler(
             world.rows,
             world.calls,
@@ -395,21 +399,21 @@
         for _ in range(times):
             for feed in self.feeds:
                 feed.read_once(0)
-            looks = [
-                gevent.spawn(self._look, worker)
+            polls = [
+                gevent.spawn(self._poll, worker)
                 for worker in self.scheduler.workers
                 if worker.entry.address
             ]
             gevent.sleep(0)
             self.scheduler.rounds.place()
             self.write()
-            gevent.joinall(looks)
+            gevent.joinall(polls)
             self.write()
             gevent.sleep(0)
             gevent.sleep(0)
             self.world.clock.now += 0.05
 
-    def _look(self, worker):
+    def _poll(self, worker):
         self.scheduler.poller.poll(worker)
 
     def write(self):
@@ -425,7 +429,7 @@
 
 
 class Advisor:
-    """Names the workers that may run a step, with a ticket each."""
+    """Advice service that issues tickets for the workers in `may`."""
 
     def __init__(self):
         self.may = set()
@@ -438,7 +442,7 @@
 
 
 class World:
-    """What outlives an instance."""
+    """State outside an instance: store, workers, clock and configuration."""
 
     def __init__(self, rand):
         self.clock = memory.Clock(now=1000.0)
@@ -448,21 +452,21 @@
         self.rand = rand
         self.leader = None
         self.calls.on_crash = self.crash
-        #: Seconds for which a worker that crashed is away; when each comes back.
+        #: Seconds until a crashed worker restarts, and the time at which each does.
         self.away_term = 3.0
         self.returns = []
-        #: Workers that crashed under each task.
+        #: Number of workers that crashed while running each task.
         self.crashed_under = collections.Counter()
-        #: Workers that crashed while a start of the task had got no answer.
+        #: Number of workers that crashed while a start of the task was unanswered.
         self.crashed_unanswered = collections.Counter()
-        self.calls.on_start_in_vain = lambda task: self.crashed_unanswered.update(
+        self.calls.on_unanswered_start = lambda task: self.crashed_unanswered.update(
             [task]
         )
         self.catalog = messages.Catalog(1, (), (messages.Service("pool"),))
         self.advisor = Advisor()
-        #: Data centres to whose workers nothing more may be sent.
+        #: Data centres whose workers must not receive new tasks.
         self.closed = frozenset()
-        #: Workers that a leader attends to at most.
+        #: Maximum number of workers that a leader polls.
         self.most_workers = sys.maxsize
 
     def add_worker(self, name, **facts):
@@ -472,18 +476,18 @@
         return worker
 
     def list(self, worker):
-        """Write the worker's entry as it is now."""
+        """Write the current entry of the worker."""
         name, cpus = worker.entry.name, worker.entry.capacity.cpus
-        entry = {"name": name, "cpus": cpus, "born": worker.entry.born}
+        entry = {"name": name, "cpus": cpus, "born": worker.entry.incarnation}
         self.rows.put(WORKERS_PREFIX + name, entry)
 
     def unlist(self, worker):
-        """Drop the worker's entry."""
+        """Remove the worker's entry."""
         write = table.Write(WORKERS_PREFIX + worker.entry.name, None)
         self.rows._apply(table.Transaction((), (write,)))
 
     def entry_of(self, name, text):
-        """Decode an entry as the platform's adapter does: anything may stand there."""
+        """Decode an entry, which may be malformed, as the platform's adapter does."""
         worker = self.calls.workers.get(name)
         try:
             found = codec.from_json(text, dict)
@@ -493,27 +497,27 @@
             return result.Err(errors.BadEntry(errors.Fault.UNREADABLE))
         cpus = found.get("cpus", worker.entry.capacity.cpus)
         capacity = dataclasses.replace(worker.entry.capacity, cpus=cpus)
-        born = found.get("born", worker.entry.born)
+        born = found.get("born", worker.entry.incarnation)
         return result.Ok(
-            dataclasses.replace(worker.entry, capacity=capacity, born=born)
+            dataclasses.replace(worker.entry, capacity=capacity, incarnation=born)
         )
 
     def crash(self, worker):
-        """End a worker's life; another one comes at its address some seconds later."""
+        """Crash a worker; its next incarnation starts at its address later."""
         self.count_crash(worker)
         worker.running.clear()
-        if worker.entry.born is None:
+        if worker.entry.incarnation is None:
             worker.late.clear()
         worker.crashed = True
         self.returns.append((self.clock.now + self.away_term, worker))
 
     def restart(self, worker):
-        """Begin another life of a worker under its name, which knows nothing of before.
+        """Start a new incarnation of a worker under the same name, without its state.
 
-        Orders to the earlier one that are late arrive in this one.
+        Late orders to the earlier incarnation reach this one.
         """
         entry = worker.entry
-        born = entry.born + int(self.rand.choice([-7000, 1, 5000]))
+        born = entry.incarnation + int(self.rand.choice([-7000, 1, 5000]))
         self.calls.earlier.append(worker)
         later = self.add_worker(
             entry.name, address=entry.address, capacity=entry.capacity, born=born
@@ -522,17 +526,17 @@
         return later
 
     def count_crash(self, worker):
-        """Take note of the tasks under which a worker crashes."""
+        """Count a crash of a worker for its running and unanswered tasks."""
         self.crashed_under.update(worker.running.keys())
         self.crashed_unanswered.update(worker.unanswered - worker.running.keys())
 
     def come_back(self):
-        """Begin the next lives of crashed workers that are due."""
+        """Start the next incarnations of crashed workers that are due."""
         due = [worker for at, worker in self.returns if at <= self.clock.now]
         self.returns = [each for each in self.returns if each[0] > self.clock.now]
         for worker in due:
             entry = worker.entry
-            if entry.born is not None:
+            if entry.incarnation is not None:
                 self.restart(worker)
                 continue
             self.unlist(worker)
@@ -547,7 +551,7 @@
         return self.leader
 
     def runs(self, task):
-        """Return on which workers a task runs now."""
+        """Return the names of the workers that run a task."""
         for worker in self.calls.workers.values():
             worker.expire()
         return [w.entry.name for w in self.calls.workers.values() if task in w.running]
--- a/tests/scheduler/following.feature
+++ b/tests/scheduler/following.feature
@@ -1,18 +1,17 @@
-Feature: Following what changes at the store
+Feature: Watching rows of the store for changes
 
-  Scenario: After an outage the store is heard of at once
-    The store refuses everything for 4 s and then serves again. Nothing has changed
-    meanwhile, so a request that waits for changes is answered only once its wait is
-    over. Callers were refused for that long although the store was back.
-    Given rows that are followed with waits of 0.5 s
-    When the store is away from 1 s to 5 s
-    Then the store is heard of again within 0.25 s of its return
-    And requests wait for changes again
+  Scenario: After a store outage, reads succeed again without delay
+    The store refuses all requests for 4 s. Nothing has changed when it is back, so a
+    long poll is answered only after its wait, and callers are refused until then.
+    Given rows that are watched with long polls of 0.5 s
+    When the store is down from 1 s to 5 s
+    Then a read succeeds within 0.25 s after the outage
+    And the watcher uses long polls again
 
-  Scenario: What can't be read, and that it can be again, is said once each
-    A whole part of a day's requests was refused, and no line said that the reading on
-    which they rest failed each time, nor why. A line for each failure would be too many.
-    Given rows that are followed with waits of 0.5 s
-    When the store is away from 1 s to 5 s
-    Then one line says that following was interrupted, why, and at which version
-    And one line says after how many seconds it went on
+  Scenario: A failing watch is logged once, and so is its recovery
+    Requests that depend on the rows are refused while reads fail. The log must tell
+    the reason, but with one line per outage rather than one per failed read.
+    Given rows that are watched with long polls of 0.5 s
+    When the store is down from 1 s to 5 s
+    Then one log line tells that the watch was interrupted, why, and at which version
+    And one log line tells after how many seconds it resumed
--- a/tests/scheduler/large_records.feature
+++ b/tests/scheduler/large_records.feature
@@ -1,54 +1,54 @@
-Feature: A job's record fits the row that keeps it
+Feature: A job's progress record fits into a row
 
   Scenario: A job of thousands of tasks holds up no other job
-    Callers of all jobs see them queued for ever. A large job's record, with the runs of
-    thousands of tasks, is longer than a row of the store may be. The store refuses the
-    transaction, which carries other jobs and the lease, and it is sent again for ever.
-    So a job begins no more tasks than its record has room for; the rest wait.
-    Given a store that refuses rows of over 49152 bytes, and room for 3600 tasks
-    When a job of 3000 tasks is handed in, then one of 1 task
+    A record with the runs of thousands of tasks exceeds the maximum row length. The
+    store refuses the transaction, which also carries other jobs and the lease, and the
+    leader sends it again for ever. So a job starts only as many tasks as fit into its
+    record.
+    Given a store that refuses rows of over 49152 bytes, and capacity for 3600 tasks
+    When a job of 3000 tasks is submitted, then one of 1 task
     Then the task of the small job runs, and hundreds of the large one
     When each run ends, until nothing runs
     Then both jobs are completed
 
-  Scenario: Runs that were stopped leave room for the next ones
-    Each of hundreds of tasks that wait again keeps its row. Were others begun beside
-    them until the record was full, none of them could begin.
-    Given a store that refuses rows of over 49152 bytes, and room for 3600 tasks
-    When a job of 3000 tasks is handed in, then one of 1 task
+  Scenario: Stopped runs leave space in the record for the next ones
+    Tasks that wait again after a run keep their rows. If other tasks could fill the
+    record meanwhile, none of these could start again.
+    Given a store that refuses rows of over 49152 bytes, and capacity for 3600 tasks
+    When a job of 3000 tasks is submitted, then one of 1 task
     And each run is stopped, 5 times
     Then the task of the small job runs, and hundreds of the large one
     When each run ends, until nothing runs
     Then both jobs are completed
 
-  Scenario: A gang waits until the record has room for all of it
-    Given a store that refuses rows of over 49152 bytes, and room for 3600 tasks
-    When a gang of 400 is handed in with 3000 tasks beside it
+  Scenario: A gang waits until the record has space for all of it
+    Given a store that refuses rows of over 49152 bytes, and capacity for 3600 tasks
+    When a gang of 400 is submitted with 3000 tasks beside it
     And each run ends, until nothing runs
-    Then the gang began together, and the job is completed
+    Then the gang started together, and the job is completed
 
-  Scenario: Long checkpoints are left out of a record that has no room for them
-    # The next leader starts those tasks from the beginning, if it has to; it knows of
-    # every run and where it is.
+  Scenario: Long checkpoints are left out of a record without space for them
+    # The record still holds every run and its worker. The next leader restarts the
+    # tasks from the beginning if it has to.
     Given 150 running tasks of a job, with checkpoints of 1000 bytes
-    Then what is kept of it takes less than 49152 bytes
-    And another leader finds each run where it is
+    Then the encoded record takes less than 49152 bytes
+    And another leader restores each run and its worker
 
-  Scenario: What was learned of thousands of images holds up no job
-    # Every few renewals of the lease carry it. Longer than a row may be, it stopped the
-    # leader as a job's record did. What was learned first goes first.
-    Given a store that refuses rows of over 49152 bytes, and room for 3600 tasks
-    When the leader has learned how 5000 images disturb another one
-    And a job of 3000 tasks is handed in, then one of 1 task
+  Scenario: Learned interference of thousands of images holds up no job
+    # It is written with every few renewals of the lease. If it exceeds the maximum row
+    # length, the leader can write nothing else. The oldest values are dropped first.
+    Given a store that refuses rows of over 49152 bytes, and capacity for 3600 tasks
+    When the leader has learned how 5000 images interfere with another one
+    And a job of 3000 tasks is submitted, then one of 1 task
     And the leader works for 40 rounds
     Then the task of the small job runs, and hundreds of the large one
-    And a new leader knows of the image that was learned of last
+    And a new leader knows the interference with the image learned last
 
   Scenario Outline: A job of <what> is <answer>
-    # It would be accepted and never be completed, or never be stored and always be
-    # refused as if the store were away.
+    # Without the check a job whose record can't fit would never be completed, or its
+    # submission would always be refused as if the store were unavailable.
     Given the description of a job of <what>
-    When it is looked at whether it can be kept
+    When the size of its record is checked
     Then the answer is "<answer>"
 
     Examples:
--- a/tests/scheduler/leadership.feature
+++ b/tests/scheduler/leadership.feature
@@ -1,76 +1,75 @@
 Feature: The fastest instance leads
 
   Scenario: A faster standby takes the lease from a slower holder
-    # Callers' jobs start seconds late: after a kill a small instance was the first to
-    # claim the lease, and all starts go through it for as long as it lives.
+    # All starts go through the leader. If a small instance is the first to claim the
+    # lease after a crash, starts are seconds late for as long as it leads.
     Given an instance of 0.3 cores leads and renews its lease
-    When a standby of 2 cores watches for 4 seconds
+    When a standby of 2 cores checks the lease for 4 seconds
     Then the standby leads
     And the first holder is deposed by its next write
 
   Scenario: A standby that is as fast leaves the lease to its holder
     Given an instance of 1 core leads and renews its lease
-    When a standby of 1.2 cores watches for 6 seconds
+    When a standby of 1.2 cores checks the lease for 6 seconds
     Then the standby does not lead
 
   Scenario: A slower standby lets a faster one claim first
-    Given an instance of 2 cores led and died
-    When a standby of 0.3 cores and one of 2 cores watch from the same moment
+    Given an instance of 2 cores led and crashed
+    When a standby of 0.3 cores and one of 2 cores check the lease together
     Then the faster standby leads
 
   Scenario: A slower standby leads when no faster one is left
-    Given an instance of 2 cores led and died
-    When a standby of 0.3 cores watches for 5 seconds
+    Given an instance of 2 cores led and crashed
+    When a standby of 0.3 cores checks the lease for 5 seconds
     Then the standby leads
 
-  Scenario: A much slower standby looks seldom while the holder is well
-    # Most instances of a large fleet are small ones that should not lead. Their looks
-    # at the lease grow with the fleet, and each is a call to the store.
+  Scenario: A much slower standby seldom checks the lease of a live holder
+    # Most instances of a large fleet are small ones that should not lead. Each check is
+    # a call to the store, and their number grows with the fleet.
     Given an instance of 2 cores leads and renews its lease
-    When a standby of 0.3 cores watches for 12 seconds
-    Then it has looked 13 times at most
+    When a standby of 0.3 cores checks the lease for 12 seconds
+    Then it has checked the lease 13 times at most
 
-  Scenario: A leader that turns slow gives the lease up
-    # Callers' jobs start late though the lease is renewed in time: the machine works
-    # at a fifth of its speed. Others take over at once.
-    Given an instance of 1 core leads and works as fast as ever
+  Scenario: A leader that becomes slow releases the lease
+    # Its machine works at a fifth of the usual speed. The lease is still renewed in
+    # time, but starts are late.
+    Given an instance of 1 core leads and works at full speed
     When its work takes 5 times as long
-    Then it gives the lease up
-    And it leaves the lease to others for a while
+    Then it releases the lease
+    And it lets others claim the lease first for a while
 
   Scenario: A leader that was slow from the start keeps the lease
-    # All machines are as slow; a lease that is handed on again and again would help
-    # nobody.
-    Given an instance of 1 core leads and was slow when it took the lease
+    # All machines are as slow, so passing the lease on would help nobody.
+    Given an instance of 1 core leads and was slow when it claimed the lease
     When its work takes 5 times as long
     Then it keeps the lease
 
-  Scenario: One slow measurement does not count
-    Given an instance of 1 core leads and works as fast as ever
-    When one piece of its work takes 50 times as long
+  Scenario: A single slow measurement does not count
+    Given an instance of 1 core leads and works at full speed
+    When one measurement of its work takes 50 times as long
     Then it keeps the lease
 
-  Scenario: A holder that lives is not deposed for being late
-    # Guards against leaders that depose each other while each has too much to do.
+  Scenario: A live holder is not deposed for renewing late
+    # Guards against busy leaders that depose each other in turn.
     Given an instance of 2 cores leads and renews its lease each 0.6 s
-    When a standby of 2 cores watches for 6 seconds
+    When a standby of 2 cores checks the lease for 6 seconds
     And the holder is 1.7 s late once
     Then the standby does not lead
 
-  Scenario: A holder that has just taken over many workers is given time
-    # Guards against a takeover that is met by the next one.
+  Scenario: A holder that has just taken over many workers gets a longer time-out
+    # Guards against a takeover that is interrupted by the next one.
     Given a standby of 2 cores saw another instance take over 800 workers
     Then the standby leads 2 to 3.2 s after the holder's last renewal
-    When the holder has led for 8 seconds before it dies
+    When the holder has led for 8 seconds before it crashes
     Then the standby leads 0.9 to 2.1 s after the holder's last renewal
 
-  Scenario: A holder that has just taken over few workers is replaced as soon as another
-    # Guards against starts that wait where leaders are lost one after the other.
+  Scenario: A holder that has just taken over few workers gets the usual time-out
+    # Guards against starts that wait when one leader after the other is lost.
     Given a standby of 2 cores saw another instance take over 30 workers
     Then the standby leads 0.9 to 2.1 s after the holder's last renewal
 
-  Scenario: A late holder that dies is replaced while leases of workers go on
-    # Guards against a holder that says it renews seldom and is waited for too long.
+  Scenario: A crashed holder with long renewal intervals is replaced before worker leases end
+    # Guards against waiting too long for a holder that reports long intervals.
     Given an instance of 2 cores leads and renews its lease each 1.5 s
-    When it dies, seen by a standby of 2 cores
+    When it crashes, observed by a standby of 2 cores
     Then the standby leads 2 to 3.2 s after the holder's last renewal
--- a/tests/scheduler/machine.py
+++ b/tests/scheduler/machine.py
@@ -1,8 +1,8 @@
-"""The scheduler under faults against promises, as a hypothesis state machine.
+"""Hypothesis state machine that checks the scheduler's promises under faults.
 
-Leaders are replaced while the earlier ones go on, orders and writes get lost or come
-late, workers fall silent and are replaced, jobs are cancelled. Time passes only when a
-rule says so, and wakes whoever sleeps until then.
+Leaders are replaced while earlier ones go on, orders and writes are lost or late,
+workers stop answering and are replaced, jobs are cancelled. Time advances only when a
+rule sets it, which wakes the greenlets that sleep until then.
 """
 
 import collections
@@ -21,29 +21,29 @@
 from mangosail.scheduler import errors, keys, messages, progress
 
 TURN = 0.05
-#: Turns within which everything has to end once all faults are over: the longest lease,
-#: a takeover, and each of a job's tasks one after the other.
+#: Turns within which all jobs must end after the last fault: the longest lease, a
+#: takeover, and all tasks of a job one after the other.
 LAST_TURNS = 600
 WORKERS = 3
-#: Seconds for which a worker that crashed is away.
+#: Seconds until a crashed worker restarts.
 AWAY_TERM = 1.0
-#: Unix milliseconds before which no worker was born.
+#: Lower bound, in Unix milliseconds, of the start times of workers.
 FIRST_BORN = 1_700_000_000_000
 ATTEMPTS = 3
-#: A task that crashes its workers may be given up from the second crash on, and after
-#: the third one it may not be started three times more.
+#: The job of a task that crashes its workers may fail from the second crash on. After
+#: the third one the task must be started fewer than three more times.
 LEAST_CRASHES = 2
 CRASHES = 3
 MORE_STARTS = 3
-#: Turns more for each such task: as many crashes, each with its worker's absence, and a
-#: wait to begin alone.
+#: Additional turns for each such task: for each crash, the restart of the worker and
+#: the wait for a start in isolation.
 CRASH_TURNS = round((CRASHES + MORE_STARTS - 1) * (AWAY_TERM + 1.0) / TURN)
 FAULTS = st.sampled_from(["", "", "silent", "lost", "late"])
 STORE_FAULTS = st.sampled_from(["lost", "late", "down"])
 
 
 class VirtualClock(memory.Clock):
-    """Time that tests set; whoever sleeps wakes when it has come."""
+    """Clock that tests set; sleepers wake once their time has come."""
 
     def __init__(self, now):
         self.sleepers = []
@@ -68,17 +68,17 @@
 
 
 class Leader:
-    """A scheduler of the program, one turn at a time."""
+    """A real scheduler that runs one turn at a time."""
 
     def __init__(self, world, name):
         self.world = world
         self.name = name
-        self.looks = {}
-        #: False while the answers of all looks are late.
+        self.polls = {}
+        #: False while no poll is answered.
         self.looking = True
-        #: The write that was begun last; the next one begins once it is over.
+        #: The latest write; the next one starts once it has finished.
         self.writing = None
-        #: What goes on beside its turns.
+        #: Greenlets that run beside its turns.
         self.greenlets = []
         lead = fakes.leadership.Leadership(
             world.rows, name, world.clock, world.counters, world.rand
@@ -94,7 +94,7 @@
         )  # fmt: skip
         self.feeds = self.scheduler.load()
         self.scheduler.polling_started = True
-        # Each turn looks at all workers. A loop of looks that never wait would spin.
+        # Each turn polls all workers; polling loops that never wait would spin.
         self.scheduler.start_polling = lambda worker: None
         self.greenlets.append(gevent.spawn(self.scheduler.expire_forever))
 
@@ -103,21 +103,21 @@
         return self.scheduler.journal.deposed
 
     def turn(self):
-        """Follow, look, place and write, as far as each gets without waiting."""
+        """Watch, poll, place and write, as far as possible without waiting."""
         if self.deposed:
             return
         for feed in self.feeds:
             feed.read_once(0)
         for worker in self.scheduler.workers:
-            running = self.looks.get(worker.name)
+            running = self.polls.get(worker.name)
             idle = running is None or running.ready()
             if worker.entry.address and idle and self.looking:
-                look = self.scheduler.poller.poll
-                self.looks[worker.name] = gevent.spawn(look, worker)
+                poll = self.scheduler.poller.poll
+                self.polls[worker.name] = gevent.spawn(poll, worker)
         settle()
         self.scheduler.rounds.place()
-        # A journal writes one transaction after the other. A write beside one that is
-        # sent again would take the link, and the place in the chain, of the other.
+        # Transactions of a journal are sequential. A second write beside one that is
+        # being sent again would take over its link of the chain.
         if self.writing is None or self.writing.ready():
             self.writing = gevent.spawn(self.write)
         settle()
@@ -129,7 +129,7 @@
             return
 
     def end(self):
-        ending = [*self.looks.values(), *self.greenlets]
+        ending = [*self.polls.values(), *self.greenlets]
         if self.writing is not None:
             ending.append(self.writing)
         gevent.killall(ending, block=False)
@@ -138,7 +138,7 @@
 
 
 def settle():
-    """Let greenlets get on until they wait for time."""
+    """Let greenlets run until all of them wait for time."""
     for _ in range(12):
         gevent.sleep(0)
 
@@ -377,12 +377,12 @@
         row = self.world.rows.kept.get(keys.state(job_id))
         if row is None:
             return False
-        record = progress.decode_record(row.value)
+        record = progress.decode(row.value)
         if record.state in messages.FINAL:
             return True
         held = progress.JobProgress(self.jobs[job_id])
         held.restore(record)
-        found = held.find_task(int(occurrence), int(step), int(index))
+        found = held.find(int(occurrence), int(step), int(index))
         return found.phase is progress.Phase.DONE
 
     # The end of a history: everything heals, and every job has to end.
@@ -447,10 +447,7 @@
 
     def over(self, job_id):
         row = self.world.rows.kept.get(keys.state(job_id))
-        return (
-            row is not None
-            and progress.decode_record(row.value).state in messages.FINAL
-        )
+        return row is not None and progress.decode(row.value).state in messages.FINAL
 
     # The workers.
 
--- a/tests/scheduler/random.feature
+++ b/tests/scheduler/random.feature
@@ -1,49 +1,49 @@
 Feature: Random histories of leaders, workers and the store
 
   Scenario: Random faults break no promise
-    Leaders are replaced and go on without knowing it; orders, looks and writes get lost
-    or come late; workers fall silent and crash; jobs are cancelled. No task runs twice
-    at a time or after its end was noted, no noted end is forgotten, and once the faults
-    are over every job ends.
+    Leaders are replaced and go on without knowing it; orders, polls and writes are lost
+    or late; workers stop answering and crash; jobs are cancelled. No task has two runs
+    at a time or starts after its end was acknowledged, no acknowledged end is lost, and
+    once the faults are over every job ends.
     Then 80 random histories of up to 40 steps keep every promise of the scheduler
 
-  Scenario: Random faults break no promise where there are more workers than are in reach
-    As above, but each leader attends to two of the three workers, and the next one may
-    choose others. What an earlier one started beyond them is still seen to its end.
-    Then 60 random histories of up to 40 steps keep them too where leaders attend to two of three workers
+  Scenario: Random faults break no promise with more workers than a leader polls
+    As above, but each leader polls two of the three workers, and the next one may
+    choose others. Runs on workers that it does not choose must still be seen to end.
+    Then 60 random histories of up to 40 steps keep them too where leaders poll two of three workers
 
-  Scenario: Random faults break no promise where workers start again under their names
+  Scenario: Random faults break no promise if workers restart under the same name
     As above, but a worker that crashes keeps its name, and late orders to its earlier
-    life reach the later one.
-    Then 80 random histories of up to 40 steps keep them too where workers start again
+    incarnation reach the later one.
+    Then 80 random histories of up to 40 steps keep them too where workers restart
 
-  Scenario: A start in doubt is barred where it was sent before the next one begins
-    # The start gets no answer and is carried out seconds later. The worker does not list
-    # the run, so it seems free to begin elsewhere; the late start would run beside it.
+  Scenario: A start in doubt is barred at its worker before the next one is sent
+    # The start is not answered and carried out seconds later. The worker does not report
+    # the run, so the task seems free to start elsewhere, and would then run twice.
     Given a task whose start is late at one worker
     When that worker answers again and 1 s passes
     Then its run is on one worker
     When the late start arrives
     Then its run is on one worker
 
-  Scenario: A stop without an answer settles no doubt
-    # The stop that bars the late start is lost too. While looks go on to list nothing,
-    # the next run has to wait: the start may still arrive.
+  Scenario: An unanswered stop does not settle a start in doubt
+    # The stop that bars the late start is lost too. Even if no poll reports the run, the
+    # next one has to wait, since the start may still arrive.
     Given a task whose start is late at one worker
-    When that worker goes on answering looks alone and 1 s passes
+    When that worker goes on answering only polls and 1 s passes
     Then its run is nowhere
     When the late start arrives
     Then no task runs twice and the job ends
 
-  Scenario Outline: An end is kept before its worker forgets it, whatever becomes of the write
-    # The write of a task's end meets faults of the store. The leader sends it again
-    # until it takes effect, and begins no other write meanwhile. Until then the worker
-    # lists the end again; had it forgotten it, the next leader would start the task.
+  Scenario Outline: An end is durable before it is acknowledged, if its write is <fault>
+    # The leader sends the write of a task's end again until it takes effect, and starts
+    # no other write meanwhile. Until then the worker keeps reporting the end: once it is
+    # acknowledged, only the record keeps the next leader from starting the task again.
     Given a task that has ended done at its worker
     When 4 writes of its end are <fault>, and the leader goes on for 0.15 s
-    Then its worker lists the end still
+    Then its worker still reports the end
     When 1 s passes
-    Then its end is kept, and its worker has forgotten it
+    Then its end is recorded, and its worker has dropped it
 
     Examples:
       | fault |
