--- a/tests/scheduler/steps/crashes_steps.py
+++ b/tests/scheduler/steps/crashes_steps.py
@@ -166,13 +166,13 @@
     task.run = 2
     task.crashes = 3
     task.certain_crashes = 1
-    context.kept_record = progress.encode_record(context.job.record())
+    context.kept_record = progress.encode(context.job.record())
 
 
 @when("it is read by the next leader")
 def step_next(context):
     context.found = progress.JobProgress(context.job.job)
-    context.found.restore(progress.decode_record(context.kept_record))
+    context.found.restore(progress.decode(context.kept_record))
 
 
 @then("the crash counts against the task")
--- a/tests/scheduler/steps/following_steps.py
+++ b/tests/scheduler/steps/following_steps.py
@@ -8,66 +8,66 @@
 from mangosail.telemetry import counters
 
 
-class QuietRows:
-    """A store in which nothing changes, and which is away for a while."""
+class UnchangingRows:
+    """A store without changes, which is unavailable for some time."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.away = (0.0, 0.0)
+        self.outage = (0.0, 0.0)
         self.waits = []
         self.answered = []
 
-    def read_all(self, prefix, heard):
+    def read_all(self, prefix, on_data):
         return result.Ok(ports.Changes((), (), 1))
 
-    def changes(self, prefix, after, wait, heard, most):
+    def changes(self, prefix, after, wait, on_data, max_bytes):
         self.waits.append(wait)
-        gone_at, back_at = self.away
-        if gone_at <= self.clock.now < back_at:
-            return result.Err(store_errors.Unavailable("away"))
+        down_at, back_at = self.outage
+        if down_at <= self.clock.now < back_at:
+            return result.Err(store_errors.Unavailable("down"))
         self.clock.sleep(wait)
         self.answered.append(self.clock.now)
         return result.Ok(ports.Changes((), (), after))
 
 
-@given("rows that are followed with waits of {wait:g} s")
-def followed(context, wait):
+@given("rows that are watched with long polls of {wait:g} s")
+def watched(context, wait):
     context.clock = memory.Clock(0.0)
-    context.rows = QuietRows(context.clock)
+    context.rows = UnchangingRows(context.clock)
     counts = counters.StatsdCounters(None, 0)
-    context.follower = row_watcher.RowWatcher(
+    context.watcher = row_watcher.RowWatcher(
         context.rows, "jobs/", lambda *_: None, context.clock, counts, wait
     )
 
 
-@when("the store is away from {gone_at:g} s to {back_at:g} s")
-def away(context, gone_at, back_at):
-    context.rows.away = (gone_at, back_at)
+@when("the store is down from {down_at:g} s to {back_at:g} s")
+def down(context, down_at, back_at):
+    context.rows.outage = (down_at, back_at)
     context.back_at = back_at
     with logbook.TestHandler() as handler:
         while context.clock.now < back_at + 2:
-            context.follower.watch_once()
+            context.watcher.watch_once()
     context.lines = handler.records
 
 
-@then("the store is heard of again within {seconds:g} s of its return")
-def heard_again(context, seconds):
+@then("a read succeeds within {seconds:g} s after the outage")
+def reads_again(context, seconds):
     first = min(t for t in context.rows.answered if t >= context.back_at)
     assert first <= context.back_at + seconds, first
 
 
-@then("requests wait for changes again")
-def waits_again(context):
-    assert context.rows.waits[-1] == context.follower.wait, context.rows.waits
+@then("the watcher uses long polls again")
+def polls_again(context):
+    assert context.rows.waits[-1] == context.watcher.wait, context.rows.waits
 
 
-@then("one line says that following was interrupted, why, and at which version")
+@then("one log line tells that the watch was interrupted, why, and at which version")
 def interrupted(context):
-    (line,) = [r for r in context.lines if r.message == "following interrupted"]
-    assert (line.kwargs["reason"], line.kwargs["version"]) == ("away", 1), line.kwargs
+    (line,) = [r for r in context.lines if r.message == "row watch interrupted"]
+    assert (line.kwargs["reason"], line.kwargs["version"]) == ("down", 1), line.kwargs
 
 
-@then("one line says after how many seconds it went on")
-def went_on(context):
-    (line,) = [r for r in context.lines if r.message == "following again"]
+@then("one log line tells after how many seconds it resumed")
+def resumed(context):
+    (line,) = [r for r in context.lines if r.message == "row watch resumed"]
     assert 3.5 <= line.kwargs["seconds"] <= 4.5, line.kwargs
--- a/tests/scheduler/steps/large_records_steps.py
+++ b/tests/scheduler/steps/large_records_steps.py
@@ -8,14 +8,16 @@
 from mangosail.scheduler import keys, progress, sizes
 
 LARGE, SMALL = "00000000000000aa", "00000000000000bb"
-#: Workers with names of 40 characters, and tasks that each has room for.
+#: Number of workers, whose names have 40 characters, and the tasks that fit on each.
 WORKERS, TASKS_EACH = 60, 60
-#: Seconds of real time in which the leader has written what it wants to keep.
+#: Time-out in seconds of real time for the rounds of the leader.
 TERM = 20
 MOST_ROUNDS = 200
 
 
-@given("a store that refuses rows of over {most:d} bytes, and room for {count:d} tasks")
+@given(
+    "a store that refuses rows of over {most:d} bytes, and capacity for {count:d} tasks"
+)
 def step_world(context, most, count):
     context.world = fakes.World(random.Random(7))
     context.world.rows.most_value = most
@@ -34,7 +36,7 @@
 
 
 def rounds(context, times):
-    """Let the leader work; if it is stuck with a write, what is tested shows it."""
+    """Run rounds of the leader; if a write blocks it, the later assertions fail."""
     with gevent.Timeout(TERM, False):
         context.leader.round(times)
 
@@ -54,7 +56,7 @@
             worker.end(task, outcome, "saved" if outcome == "stopped" else "")
 
 
-@when("a job of {large:d} tasks is handed in, then one of {small:d} task")
+@when("a job of {large:d} tasks is submitted, then one of {small:d} task")
 def step_jobs(context, large, small):
     submit(context, fakes.job(LARGE, fakes.step(large)))
     rounds(context, 3)
@@ -62,14 +64,14 @@
     rounds(context, 3)
 
 
-@when("a gang of {members:d} is handed in with {count:d} tasks beside it")
+@when("a gang of {members:d} is submitted with {count:d} tasks beside it")
 def step_gang(context, members, count):
     gang = fakes.step(members, gang=True)
     submit(context, fakes.job(LARGE, fakes.step(count), gang))
     rounds(context, 3)
 
 
-@when("the leader has learned how {count:d} images disturb another one")
+@when("the leader has learned how {count:d} images interfere with another one")
 def step_learned(context, count):
     model = context.leader.scheduler.model
     for number in range(count):
@@ -83,7 +85,7 @@
     rounds(context, times)
 
 
-@then("a new leader knows of the image that was learned of last")
+@then("a new leader knows the interference with the image learned last")
 def step_knows(context):
     model = context.world.lead("b").scheduler.model
     assert context.last in model.base
@@ -114,7 +116,7 @@
         rounds(context, 3)
         if not running(context, ""):
             return
-    raise AssertionError(f"{len(running(context, ''))} run still")
+    raise AssertionError(f"{len(running(context, ''))} tasks still run")
 
 
 @then("both jobs are completed")
@@ -123,7 +125,7 @@
     assert found == ["completed", "completed"], found
 
 
-@then("the gang began together, and the job is completed")
+@then("the gang started together, and the job is completed")
 def step_gang_completed(context):
     assert context.together == 400, context.together
     assert context.world.rows.state(LARGE) == "completed"
@@ -139,16 +141,16 @@
         task.checkpoint = "x" * size
 
 
-@then("what is kept of it takes less than {most:d} bytes")
+@then("the encoded record takes less than {most:d} bytes")
 def step_small(context, most):
-    context.kept = progress.encode_job(context.job)
-    assert len(context.kept) < most, len(context.kept)
+    context.encoded = progress.encode_job(context.job)
+    assert len(context.encoded) < most, len(context.encoded)
 
 
-@then("another leader finds each run where it is")
+@then("another leader restores each run and its worker")
 def step_found(context):
     found = progress.JobProgress(context.job.job)
-    found.restore(progress.decode_record(context.kept))
+    found.restore(progress.decode(context.encoded))
     before = [(task.run, task.worker) for task in context.job.tasks()]
     assert [(task.run, task.worker) for task in found.tasks()] == before
 
@@ -173,8 +175,8 @@
     return fakes.job(LARGE, fakes.step(1), occurrences=times)
 
 
-@when("it is looked at whether it can be kept")
-def step_look(context):
+@when("the size of its record is checked")
+def step_check_size(context):
     context.fault = sizes.rejection_reason(context.job)
 
 
--- a/tests/scheduler/steps/leadership_steps.py
+++ b/tests/scheduler/steps/leadership_steps.py
@@ -9,8 +9,8 @@
 from mangosail.scheduler import errors, journal, keys, leadership
 from mangosail.telemetry import counters
 
-#: Seconds that a piece of work takes at full speed.
-FAIR = 0.0001
+#: Seconds that one measurement of speed takes at full speed.
+FULL_SPEED_S = 0.0001
 
 
 def instance(context, name, cores):
@@ -28,7 +28,7 @@
 def claim(context, candidate):
     held = None
     while held is None:
-        held = candidate.watch()
+        held = candidate.check()
         context.world.clock.now += 0.3
     return held
 
@@ -66,7 +66,7 @@
     context.journal.worker_count = lambda: count
     renew(context)
     context.standby.check()
-    die(context)
+    crash(context)
 
 
 @when("the holder is {seconds:g} s late once")
@@ -75,23 +75,23 @@
     context.leads = watch(context, [context.standby], seconds + 0.1)
 
 
-@when("the holder has led for {seconds:d} seconds before it dies")
+@when("the holder has led for {seconds:d} seconds before it crashes")
 def step_led(context, seconds):
     step_saw(context, context.standby.cores, context.count)
     context.journal = context.last
     assert watch(context, [context.standby], seconds) is None
-    die(context)
+    crash(context)
 
 
-@when("it dies, seen by a standby of {cores:g} cores")
+@when("it crashes, observed by a standby of {cores:g} cores")
 def step_dies(context, cores):
     context.standby = instance(context, "second", cores)
     assert watch(context, [context.standby], 5) is None
-    die(context)
+    crash(context)
 
 
-def die(context):
-    """Let the holder renew no more."""
+def crash(context):
+    """Stop the renewals of the holder."""
     context.last, context.journal = context.journal, None
 
 
@@ -102,29 +102,29 @@
     assert least <= passed <= most, passed
 
 
-@given("an instance of {cores:g} cores led and died")
+@given("an instance of {cores:g} cores led and crashed")
 def step_died(context, cores):
     step_leads(context, cores)
     context.journal = None
 
 
-@then("it has looked {most:d} times at most")
-def step_looks(context, most):
-    assert context.looks <= most, context.looks
+@then("it has checked the lease {most:d} times at most")
+def step_checks(context, most):
+    assert context.checks <= most, context.checks
 
 
 def watch(context, candidates, seconds):
-    """Let each candidate look as often as it does, while the holder renews."""
+    """Let each candidate check the lease at its intervals, while the holder renews."""
     clock = context.world.clock
     end = clock.now + seconds
     due = {candidate: clock.now for candidate in candidates}
     while clock.now < end:
         for candidate in candidates:
             if clock.now >= due[candidate]:
-                context.looks = getattr(context, "looks", 0) + 1
-                if candidate.watch() is not None:
+                context.checks = getattr(context, "checks", 0) + 1
+                if candidate.check() is not None:
                     return candidate
-                due[candidate] = clock.now + candidate.pause()
+                due[candidate] = clock.now + candidate.next_check_delay()
         if context.journal is not None:
             renew(context)
         clock.now += 0.05
@@ -132,20 +132,20 @@
 
 
 def renew(context):
-    """Let the holder write, if it gets to that."""
+    """Let the holder renew the lease if its interval has passed."""
     now = context.world.clock.now
     if now >= context.renewed_at + context.interval:
         context.journal.write()
         context.renewed_at = now
 
 
-@when("a standby of {cores:g} cores watches for {seconds:d} seconds")
+@when("a standby of {cores:g} cores checks the lease for {seconds:d} seconds")
 def step_watch(context, cores, seconds):
     context.standby = instance(context, "second", cores)
     context.leads = watch(context, [context.standby], seconds)
 
 
-@when("a standby of {low:g} cores and one of {high:g} cores watch from the same moment")
+@when("a standby of {low:g} cores and one of {high:g} cores check the lease together")
 def step_both(context, low, high):
     slower, context.standby = (
         instance(context, "slower", low),
@@ -173,10 +173,10 @@
         context.journal.write()
     except errors.DeposedError:
         return
-    raise AssertionError("the first holder still writes")
+    raise AssertionError("the first holder can still write")
 
 
-def keeper(context, slow):
+def leading(context, slow):
     context.rounds = 0
     clock = memory.Clock()
     context.clock = clock
@@ -184,59 +184,59 @@
         None, "one", clock, counters.StatsdCounters(None, 0), random.Random(3)
     )
     for _ in range(8):
-        lead.speed.record(FAIR)
+        lead.speed.record(FULL_SPEED_S)
     if slow:
         for _ in range(8):
-            lead.speed.record(5 * FAIR)
+            lead.speed.record(5 * FULL_SPEED_S)
     context.lead = lead
 
 
-@given("an instance of 1 core leads and works as fast as ever")
+@given("an instance of 1 core leads and works at full speed")
 def step_fair(context):
-    keeper(context, False)
+    leading(context, False)
 
 
-@given("an instance of 1 core leads and was slow when it took the lease")
+@given("an instance of 1 core leads and was slow when it claimed the lease")
 def step_slow_already(context):
-    keeper(context, True)
+    leading(context, True)
 
 
-def keep(context, pieces):
-    """Let the leader measure these pieces of work, and say whether it gives up."""
-    waiting = iter(pieces)
-    gave_up = []
+def monitor(context, measurements):
+    """Let the leader take these measurements; note whether it releases the lease."""
+    remaining = iter(measurements)
+    released = []
 
     def measure():
-        took = next(waiting, None)
+        took = next(remaining, None)
         if took is None:
             raise gevent.GreenletExit
-        context.lead.speed.note(took)
+        context.lead.speed.record(took)
 
     context.lead.speed.measure = measure
-    gevent.spawn(context.lead.keep, lambda: gave_up.append(True)).join()
-    context.gave_up = bool(gave_up)
+    gevent.spawn(context.lead.release_when_slow, lambda: released.append(True)).join()
+    context.released = bool(released)
 
 
 @when("its work takes 5 times as long")
 def step_turns_slow(context):
-    keep(context, [5 * FAIR] * 10)
+    monitor(context, [5 * FULL_SPEED_S] * 10)
 
 
-@when("one piece of its work takes 50 times as long")
+@when("one measurement of its work takes 50 times as long")
 def step_once(context):
-    keep(context, [FAIR, 50 * FAIR, *[FAIR] * 8])
+    monitor(context, [FULL_SPEED_S, 50 * FULL_SPEED_S, *[FULL_SPEED_S] * 8])
 
 
-@then("it gives the lease up")
+@then("it releases the lease")
 def step_gives_up(context):
-    assert context.gave_up
+    assert context.released
 
 
 @then("it keeps the lease")
 def step_keeps(context):
-    assert not context.gave_up
+    assert not context.released
 
 
-@then("it leaves the lease to others for a while")
-def step_shuns(context):
+@then("it lets others claim the lease first for a while")
+def step_backs_off(context):
     assert context.lead.back_off_until > context.clock.now
--- a/tests/scheduler/steps/random_steps.py
+++ b/tests/scheduler/steps/random_steps.py
@@ -23,7 +23,7 @@
 
 @then(
     "{count:d} random histories of up to {steps:d} steps keep them too where leaders "
-    "attend to two of three workers"
+    "poll two of three workers"
 )
 def short_reach(context, count, steps):
     histories(context, count, steps, machine.BeyondReach)
@@ -31,13 +31,13 @@
 
 @then(
     "{count:d} random histories of up to {steps:d} steps keep them too where workers "
-    "start again"
+    "restart"
 )
 def second_lives(context, count, steps):
     histories(context, count, steps, machine.SecondLives)
 
 
-#: Turns of a leader in a second.
+#: Turns of a leader per second.
 SECOND = round(1 / machine.TURN)
 
 
@@ -61,8 +61,8 @@
     context.history.lead_on(SECOND)
 
 
-@when("that worker goes on answering looks alone and 1 s passes")
-def looks_alone(context):
+@when("that worker goes on answering only polls and 1 s passes")
+def only_polls(context):
     context.history.lead_on(SECOND)
 
 
@@ -88,7 +88,7 @@
     context.history.lead_on(round(term / machine.TURN))
 
 
-@then("its worker lists the end still")
+@then("its worker still reports the end")
 def lists_end(context):
     (end,) = context.worker.ended
     assert end.task == context.task, end
@@ -99,7 +99,7 @@
     context.history.lead_on(SECOND)
 
 
-@then("its end is kept, and its worker has forgotten it")
+@then("its end is recorded, and its worker has dropped it")
 def kept_and_forgotten(context):
     assert context.history.kept_as_done(context.task)
     (end,) = context.worker.noted
@@ -108,7 +108,7 @@
 
 
 def places(context):
-    """Return the workers that run the first job's task."""
+    """Return the names of the workers that run the task of the first job."""
     job_id = min(context.history.jobs)
     return context.history.world.runs(f"{job_id}.0.0.0")
 
--- a/tests/scheduler/steps/records_steps.py
+++ b/tests/scheduler/steps/records_steps.py
@@ -34,12 +34,12 @@
 
 @when("its record is written and read by another leader")
 def read_again(context):
-    text = progress.encode_record(context.job.record())
+    text = progress.encode(context.job.record())
     context.found = new_job(len(tasks_of(context.job)))
-    context.found.restore(progress.decode_record(text))
+    context.found.restore(progress.decode(text))
 
 
-@then("the same tasks are done, and those that ran are in doubt where they were")
+@then("the same tasks are done, and those that ran are in doubt on the same workers")
 def same_done(context):
     for before, after in zip(
         tasks_of(context.job), tasks_of(context.found), strict=True
@@ -48,7 +48,7 @@
         if expected is progress.Phase.RUNNING:
             expected = progress.Phase.DOUBTFUL
         assert (after.phase, after.worker) == (expected, before.worker), before.name
-    assert context.found.begun
+    assert context.found.started
 
 
 @then("runs, failures and checkpoints are as before")
@@ -58,8 +58,8 @@
     ):
         if before.phase is progress.Phase.DONE:
             continue
-        kept = (after.run, after.failures, after.checkpoint)
-        assert kept == (before.run, before.failures, before.checkpoint), before.name
+        restored = (after.run, after.failures, after.checkpoint)
+        assert restored == (before.run, before.failures, before.checkpoint), before.name
 
 
 @given("a job of {count:d} tasks that are all done but one")
@@ -72,19 +72,19 @@
 
 @then("its record takes less than {most:d} bytes")
 def small(context, most):
-    text = progress.encode_record(context.job.record())
+    text = progress.encode(context.job.record())
     assert len(text) < most, text
 
 
-@when("a record holds {row}")
+@when("a record contains {row}")
 def holds(context, row):
-    context.kept = row
+    context.encoded = row
 
 
-@then("it can't be read")
+@then("it can't be decoded")
 def unreadable(context):
     try:
-        found = progress.decode_record(context.kept)
+        found = progress.decode(context.encoded)
     except codec.DecodeError:
         return
     raise AssertionError(found)
--- a/tests/scheduler/steps/scheduler_steps.py
+++ b/tests/scheduler/steps/scheduler_steps.py
@@ -90,8 +90,8 @@
     submit(context, fakes.job(ID, fakes.step(count, continuous=True)))
 
 
-@given("a job of {count:d} task that serves")
-@given("a job of {count:d} tasks that serve")
+@given("a job of {count:d} latency-critical task")
+@given("a job of {count:d} latency-critical tasks")
 def step_critical(context, count):
     step = fakes.step(count, continuous=True, image="server", latency_target=18.0)
     submit(context, fakes.job(SERVING, step))
@@ -151,15 +151,15 @@
 
 
 @given("the next start gets no answer and is carried out late")
-def step_mute(context):
+def step_delayed_order(context):
     for worker in workers(context):
-        worker.mute_once = True
+        worker.delay_next_order = True
 
 
-@when("the task ends while the look that waits gets no answer")
-def step_mute_look(context):
+@when("the task ends while the pending poll is not answered")
+def step_unanswered_poll(context):
     (worker,) = workers(context)
-    worker.mute_look_once = True
+    worker.ignore_next_poll = True
     worker.end(TASK)
     context.began_at = time.monotonic()
     context.world.leader.round(2)
@@ -176,8 +176,8 @@
     context.world.leader.round(2)
     context.began_at = context.world.clock.now
     for worker in workers(context):
-        # One of them has the start; the other has got no order.
-        worker.mute_once = False
+        # Only one of them has received the start.
+        worker.delay_next_order = False
     gevent.sleep(orders.ANSWER_TIMEOUT_S * 1.2)
 
 
@@ -256,9 +256,9 @@
     step_job(context, 1)
     leader = context.first
     for feed in leader.feeds:
-        feed.step(0)
+        feed.read_once(0)
     for worker in leader.scheduler.workers:
-        leader.scheduler.poller.look(worker)
+        leader.scheduler.poller.poll(worker)
     for other in others(count):
         leader.journal.record(other)
 
@@ -277,11 +277,11 @@
 @then("{count:d} job is counted as waiting")
 @then("{count:d} jobs are counted as waiting")
 def step_counted(context, count):
-    assert sum(context.world.leader.scheduler.pending().values()) == count
+    assert sum(context.world.leader.scheduler.pending_counts().values()) == count
 
 
-@when("another job of 1 best-effort task comes and finds no room")
-def step_no_room(context):
+@when("another job of 1 best-effort task comes and cannot be placed")
+def step_not_placed(context):
     step_another(context)
     context.world.leader.round(2)
     waiting = context.world.leader.task(f"{URGENT}.0.0.0")
@@ -351,11 +351,11 @@
 @when("its end is recorded but not acknowledged")
 def step_unacknowledged(context):
     leader = context.world.leader
-    kept = {w.entry.name: list(w.ended) for w in workers(context)}
+    listed = {w.entry.name: list(w.ended) for w in workers(context)}
     leader.round()
     for worker in workers(context):
-        # As if the leader had died before its next look.
-        worker.ended = kept[worker.entry.name]
+        # As if the leader had crashed before its next poll.
+        worker.ended = listed[worker.entry.name]
         worker.running.clear()
 
 
@@ -369,7 +369,7 @@
     context.world.rows.fault = ""
 
 
-@when("the task's worker falls silent")
+@when("the task's worker stops answering")
 def step_silent(context):
     name = context.world.runs(TASK)[0]
     context.world.calls.workers[name].fault = "silent"
@@ -417,10 +417,10 @@
         context.first.write()
     except errors.DeposedError:
         return
-    raise AssertionError("the lease was not given up")
+    raise AssertionError("the lease was not released")
 
 
-@then("the next instance leads at its first look")
+@then("the next instance leads at its first check")
 def step_at_once(context):
     before = context.world.clock.now
     context.world.lead("b")
@@ -432,16 +432,16 @@
     context.world.rows.put(keys.cancellation(ID), "1")
 
 
-@when("the task is slowed down to 0")
+@when("the task is throttled to 0 percent")
 def step_slow(context):
     for worker in workers(context):
-        worker.paces[TASK] = 0
+        worker.speed_limits[TASK] = 0
 
 
-@when("the workers leave the next {count:d} changes of speed unanswered")
-def step_unpaced(context, count):
+@when("the workers leave the next {count:d} throttling orders unanswered")
+def step_ignored_throttles(context, count):
     for worker in workers(context):
-        worker.unpaced = count
+        worker.ignored_throttles = count
 
 
 @when("their tail latencies are too high")
@@ -475,7 +475,7 @@
     assert not starts, starts
 
 
-@given("a task that serves on each of them")
+@given("a latency-critical task on each of them")
 def step_serving_each(context):
     quick = fakes.step(continuous=True, image="server", latency_target=18.0, label="r1")
     slow = fakes.step(
@@ -485,7 +485,7 @@
     submit(context, fakes.job(URGENT, slow))
 
 
-@when('the tail on "{high}" is too high, and "{other}" has less room by what is known')
+@when('the tail on "{high}" is too high, and "{other}" has less capacity by the model')
 def step_one_high(context, high, other):
     calls = context.world.calls.workers
     model = context.world.leader.scheduler.model
@@ -511,21 +511,23 @@
 
 @then("the task works at full speed")
 def step_full(context):
-    paces = [w.paces[TASK] for w in workers(context) if TASK in w.paces]
-    assert paces == [100], paces
+    speed_limits = [
+        w.speed_limits[TASK] for w in workers(context) if TASK in w.speed_limits
+    ]
+    assert speed_limits == [100], speed_limits
 
 
 @then("each of them works at full speed")
 def step_all_full(context):
     for worker in workers(context):
-        paces = {task: worker.paces.get(task) for task in worker.running}
-        assert set(paces.values()) == {100}, paces
+        speed_limits = {task: worker.speed_limits.get(task) for task in worker.running}
+        assert set(speed_limits.values()) == {100}, speed_limits
 
 
 @then("the best-effort task works at 0 percent")
 def step_stopped(context):
-    paces = [w.paces.get(TASK) for w in workers(context)]
-    assert paces == [0], paces
+    speed_limits = [w.speed_limits.get(TASK) for w in workers(context)]
+    assert speed_limits == [0], speed_limits
 
 
 @then("{count:d} tasks of the first step run and none of the second")
@@ -560,7 +562,7 @@
     assert len(context.world.runs(TASK)) == 1, context.world.runs(TASK)
 
 
-@then("the worker was not told to forget the end")
+@then("the end was not acknowledged to the worker")
 def step_not_forgotten(context):
     assert all(worker.acknowledged == 0 for worker in workers(context))
 
@@ -597,10 +599,10 @@
     assert f"{URGENT}.0.0.0" in all_running(context), all_running(context)
 
 
-@when("the task's worker stands still")
-def step_still(context):
+@when("the task's worker makes no progress")
+def step_stalled(context):
     for worker in workers(context):
-        worker.standing_still = worker.entry.name == context.world.runs(TASK)[0]
+        worker.stalled = worker.entry.name == context.world.runs(TASK)[0]
 
 
 @given("a gang of {count:d} tasks")
@@ -618,7 +620,7 @@
     context.world.calls.workers[name].refusals = 1
 
 
-@then("{count:d} tasks run, with one number of the run")
+@then("{count:d} tasks run, with the same run number")
 def step_gang_runs(context, count):
     runs = [run for worker in workers(context) for run in worker.running.values()]
     assert len(runs) == count, runs
@@ -635,13 +637,13 @@
             return
 
 
-@then("no run waited in vain")
+@then("no run ended for want of the other members")
 def step_not_alone(context):
     ends = [end.outcome for worker in workers(context) for end in worker.ended]
     assert "alone" not in ends, ends
 
 
-@given('a queue that asks for advice, which names "{name}"')
+@given('a queue that needs advice, which approves "{name}"')
 def step_advised(context, name):
     queue = messages.Queue("q", "h", "/", "pool", 0, 2, 3.0, needs_advice=True)
     services = (messages.Service("pool"),)
@@ -661,8 +663,8 @@
     context.world.rows.forgotten = context.world.rows.kept.version
 
 
-@when("its stop is answered, and then a look from before arrives")
-def step_old_look(context):
+@when("its stop is answered, and then an earlier report arrives")
+def step_earlier_report(context):
     leader = context.world.leader
     task = leader.task(TASK)
     worker = leader.worker(task.worker)
@@ -672,18 +674,18 @@
     gevent.sleep(0)
     assert task.stop_confirmed_at is not None, "the stop was not answered"
     old = messages.WorkerReport(int(before * 1000), (), ())
-    leader.scheduler.reports.take_in(worker, old, before)
+    leader.scheduler.reports.process(worker, old, before)
     leader.scheduler.rounds.place()
     leader.write()
     gevent.sleep(0)
 
 
-@when('the leader has learned that "{best_effort}" presses on "{critical}"')
+@when('the leader has learned that "{best_effort}" interferes with "{critical}"')
 def step_learned(context, best_effort, critical):
     context.world.leader.scheduler.model.pressure[critical, best_effort] = 9.0
 
 
-@then('the new leader knows that "{best_effort}" presses on "{critical}"')
+@then('the new leader knows that "{best_effort}" interferes with "{critical}"')
 def step_knows(context, best_effort, critical):
     known = context.world.leader.scheduler.model.pressure
     assert known == {(critical, best_effort): 9.0}, known
@@ -694,8 +696,8 @@
     step_job(context, count)
 
 
-@when('"{old}" comes back as "{new}" at its address')
-def step_reborn(context, old, new):
+@when('"{old}" restarts as "{new}" at its address')
+def step_restarts(context, old, new):
     earlier = context.world.calls.workers[old]
     earlier.fault = "replaced"
     earlier.running.clear()
@@ -703,7 +705,7 @@
     assert later.entry.address == earlier.entry.address
 
 
-@when('the entry of "{name}" is written once more')
+@when('the entry of "{name}" is written again')
 def step_entry_again(context, name):
     context.world.rows.put(fakes.WORKERS_PREFIX + name, {"name": name})
 
@@ -716,30 +718,30 @@
     assert sorted(all_running(context)) == names, all_running(context)
 
 
-@given("the log is kept")
+@given("the log is captured")
 def step_log(context):
     context.log = logbook.TestHandler()
     context.log.push_application()
     context.add_cleanup(context.log.pop_application)
 
 
-@given('a job of 1 task with the text "{text}"')
+@given('a job of 1 task with the specification "{text}"')
 def step_text(context, text):
     job = fakes.job(ID, fakes.step())
     submit(context, dataclasses.replace(job, spec=text))
 
 
-@then('the log tells "{events}" of the job')
+@then('the log has the events "{events}" of the job')
 def step_told(context, events):
-    told = [
+    logged = [
         record.message
         for record in context.log.records
         if str(record.kwargs.get("job") or record.kwargs.get("task")).startswith(ID)
     ]
-    assert told == events.split(", "), told
+    assert logged == events.split(", "), logged
 
 
-@then('no line holds "{text}"')
+@then('no log line contains "{text}"')
 def step_secret(context, text):
     lines = [logs.format_record(record, None) for record in context.log.records]
     assert lines and not any(text in line for line in lines)
@@ -761,7 +763,7 @@
 
 
 @when("the entry of the task's worker is written again")
-def step_mend_entry(context):
+def step_restore_entry(context):
     context.world.rows.put(*entry_key(context))
 
 
@@ -818,25 +820,25 @@
     assert context.world.leader.scheduler.workers.get(name).usable(now)
 
 
-@given("a row of a job and a row of another job's past that nobody can read")
+@given("a row of a job and a record of another job that can't be decoded")
 def step_unreadable(context):
     context.world.rows.put(keys.job(LATER), "no job")
     context.world.rows.put(keys.job(LAST), fakes.job(LAST, fakes.step(1)))
     context.world.rows.put(keys.state(LAST), "no record")
 
 
-@then("the job without a readable past has started nothing")
+@then("the job without a valid record has started nothing")
 def step_nothing_started(context):
     assert not context.world.starts(f"{LAST}.0.0.0")
 
 
-@given("its only worker takes no orders")
+@given("its only worker does not answer")
 def step_no_orders(context):
     (worker,) = workers(context)
     worker.fault = "silent"
 
 
-@when("another instance wins the lease and renews it before it has read the jobs")
+@when("another instance acquires the lease and renews it before it has read the jobs")
 def step_renews_early(context):
     reader = fakes.Leader(context.world, "c", reads=False)
     for _ in range(2):
@@ -844,23 +846,23 @@
         reader.journal.write()
 
 
-@then("{count:d} job is told to wait")
-def step_told_waiting(context, count):
+@then("{count:d} job is published as waiting")
+def step_published(context, count):
     row = context.world.rows.kept.get(keys.LEASE)
     assert sum(codec.from_json(row.value, dict)["pending"].values()) == count, row
 
 
 @given("tasks of the queue took ten times as long as declared")
 def step_underdeclared(context):
-    expected = context.world.leader.scheduler.expected
+    estimator = context.world.leader.scheduler.estimator
     for number, declared in enumerate((0.1, 1.0, 10.0, 100.0)):
         step = dataclasses.replace(fakes.step(), estimate=declared)
         job = progress.JobProgress(fakes.job(f"{number:016x}", step))
-        expected.note(next(job.tasks()), declared**1.3 * 10)
+        estimator.record(next(job.tasks()), declared**1.3 * 10)
 
 
 @given("a job of {count:d} tasks that is declared to take {seconds:g} seconds")
-def step_absurd(context, count, seconds):
+def step_long_estimate(context, count, seconds):
     step = dataclasses.replace(fakes.step(count), estimate=seconds)
     submit(context, fakes.job(ID, step))
 
