--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -219,7 +219,7 @@
 
 @when("it is looked at")
 def step_look(context):
-    context.done = context.workers.look(context.entry, 3, 57, 486000, 1.0)
+    context.done = context.workers.poll(context.entry, 3, 57, 486000, 1.0)
 
 
 @then("the start is {meaning}")
@@ -378,7 +378,7 @@
 
 @then("it goes by a configuration for {seconds:g} s after it was surely the newest")
 def step_goes_by(context, seconds):
-    assert context.process.catalog.most_age == seconds
+    assert context.process.catalog.max_age == seconds
 
 
 @then("the settings name the instance and the store")
--- a/tests/adapter/steps/entries_steps.py
+++ b/tests/adapter/steps/entries_steps.py
@@ -70,7 +70,7 @@
 
 @then("its worker's birth is {born}")
 def told_birth(context, born):
-    assert str(context.entry.unwrap().born) == born, context.entry
+    assert str(context.entry.unwrap().incarnation) == born, context.entry
 
 
 @then("it names the worker with {cores:d} cores at its address")
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -103,7 +103,7 @@
 
 @given("a configuration is in force everywhere within {seconds:g} s")
 def step_force(context, seconds):
-    context.catalog.most_age = seconds
+    context.catalog.max_age = seconds
 
 
 def accepts(context):
@@ -390,6 +390,6 @@
 @then("it has heard of each worker within {seconds:g} s")
 def step_heard(context, seconds):
     def heard():
-        return sum(worker.known for worker in context.scheduler.workers)
+        return sum(worker.contacted for worker in context.scheduler.workers)
 
     wait_for(lambda: heard() == context.workers, seconds)
