--- a/src/mangosail/placement/__init__.py
+++ b/src/mangosail/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: which worker carries which piece of work, and how much it may carry."""
+"""Placement: selects workers for work and reserves capacity on them."""
--- a/src/mangosail/placement/admission.py
+++ b/src/mangosail/placement/admission.py
@@ -1,25 +1,25 @@
-"""Admission by deadline, and when it is worth coming back."""
+"""Deadline-based admission control and retry-after estimates."""
 
 import collections.abc as cabc
 
 from mangosail.placement import latency, messages
 
-#: Seconds after which a kind that was only refused is let through once. An
-#: estimate that nothing tests any more would refuse that kind for good.
+#: Seconds after which one request of a kind that was only refused is admitted. Without
+#: new samples, a wrong estimate would cause that kind to be refused forever.
 PROBE_INTERVAL_S = 1.0
-#: Bounds in seconds of the time after which callers are told to come back.
+#: Lower and upper bound, in seconds, of the retry-after that callers are given.
 RETRY_AFTER_BOUNDS_S = (0.05, 10.0)
 
 
 class Admission:
-    """Tells whether a quote can make its deadline; times are monotonic."""
+    """Checks whether a quote can meet its deadline; times are monotonic."""
 
     def __init__(self, latencies: latency.Latencies) -> None:
         self.latencies = latencies
         self.admitted_at: dict[str, float] = {}
 
     def admits(self, kind: str, predicted: float, deadline: float, now: float) -> bool:
-        """Tell whether a quote that takes `predicted` seconds is started."""
+        """Return whether to start a quote predicted to take `predicted` seconds."""
         tested_at = self.admitted_at.get(kind, -PROBE_INTERVAL_S)
         if now + predicted > deadline and now - tested_at < PROBE_INTERVAL_S:
             return False
@@ -29,9 +29,9 @@
     def retry_after(
         self, running: cabc.Iterable[tuple[messages.Work, float]], now: float
     ) -> float:
-        """Return in how many seconds the first of `running` should have ended.
+        """Return the estimated seconds until the first of `running` ends.
 
-        `running` gives each piece of work with the time at which it was placed.
+        `running` contains pairs of work and the time at which it was placed.
         """
         low, high = RETRY_AFTER_BOUNDS_S
         ends = [
--- a/src/mangosail/placement/choice.py
+++ b/src/mangosail/placement/choice.py
@@ -1,6 +1,6 @@
-"""Choice of worker among those on which a piece of work fits.
+"""Strategies that select a worker from those with enough free capacity.
 
-A chooser is any object with a `choose` method; the smallest one is::
+A chooser is any object with the methods of `Chooser`. A minimal one is::
 
     class First:
         def choose(self, candidates, work):
@@ -19,21 +19,21 @@
 
 
 class Chooser(t.Protocol):
-    """Picks a worker for a piece of work."""
+    """Selects a worker for a piece of work."""
 
     def choose(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> workers.OwnedWorker:
-        """Return one of `candidates`, of which there is at least one."""
+        """Return one of `candidates`, which must not be empty."""
 
     def suitable(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> list[workers.OwnedWorker]:
-        """Return those of `candidates` on which `work` does no undue harm."""
+        """Return the `candidates` on which `work` interferes acceptably with quotes."""
 
 
 class Policy(enum.StrEnum):
-    """The choosers that an instance can be started with."""
+    """Choosers that can be selected in the settings of an instance."""
 
     LEARNED = "learned"
     LEAST_LOADED = "least-loaded"
@@ -42,7 +42,7 @@
 
 
 def load(owned: workers.OwnedWorker) -> float:
-    """Return the share of the worker's scarcest resource that is reserved."""
+    """Return the reserved fraction of slots or processors, whichever is higher."""
     capacity = owned.worker.capacity
     used = owned.ledger.used
     shares = [used.slots / max(capacity.slots, 1)]
@@ -51,7 +51,7 @@
 
 
 class InterferenceUnaware:
-    """Base of choosers that know nothing of harm: any worker suits them."""
+    """Base of choosers that ignore interference: every worker is suitable."""
 
     def suitable(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
@@ -61,7 +61,7 @@
 
 
 class LeastLoaded(InterferenceUnaware):
-    """Picks the worker with the smallest load; the first of equal ones by chance."""
+    """Selects the worker with the lowest load; ties are broken at random."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -74,7 +74,7 @@
 
 
 class TwoChoices(InterferenceUnaware):
-    """Draws two workers and picks the less loaded one."""
+    """Selects the less loaded of two workers drawn at random."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -82,12 +82,12 @@
     def choose(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> workers.OwnedWorker:
-        """Return the less loaded of two of `candidates`."""
+        """Return the less loaded of two random `candidates`."""
         return min(self.random.sample(candidates, min(2, len(candidates))), key=load)
 
 
 class Random(InterferenceUnaware):
-    """Picks any worker."""
+    """Selects a worker uniformly at random."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -95,5 +95,5 @@
     def choose(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> workers.OwnedWorker:
-        """Return one of `candidates` by chance."""
+        """Return a random one of `candidates`."""
         return self.random.choice(candidates)
--- a/src/mangosail/placement/ejection.py
+++ b/src/mangosail/placement/ejection.py
@@ -1,13 +1,14 @@
-"""Tells a worker that fails everything from a job that fails everywhere.
+"""Outlier ejection of faulty workers and detection of poisoned jobs.
 
-A failure alone does not say whose fault it is. The work that failed is asked
-first: a job that failed on several workers that do other work well is poisoned.
-A worker is ejected when it has failed several tasks in a row, of which at least
-one was of a kind or job that others do well. A share of the workers at most is
-ejected, and each is tried again with single tasks::
+A single failure does not show whether the worker or the work is at fault. A job
+that failed on several otherwise healthy workers is poisoned. A worker is ejected
+after several consecutive failures if at least one of them was of a kind that
+succeeds on other workers and of a job that is not poisoned. Only a fraction of
+the workers may be ejected at a time, and ejected workers are probed with single
+tasks::
 
     ejection.observe("w1", "fuel.quote", "", ok=False)
-    ejection.ejected("w1")
+    ejection.is_ejected("w1")
 """
 
 import collections
@@ -17,32 +18,32 @@
 from mangosail import clock as clocks
 from mangosail.telemetry import counters as telemetry
 
-#: Failures in a row after which a worker is suspected.
+#: Consecutive failures after which a worker may be ejected.
 CONSECUTIVE_FAILURES = 5
-#: One in so many workers may be ejected at a time.
+#: At most one worker out of this many may be ejected at a time.
 MAX_EJECTED_DIVISOR = 3
-#: Seconds from ejection to the first probe; each failed probe doubles it.
+#: Seconds from ejection to the first probe; doubled by each failed probe.
 PROBE_INTERVAL_S = 1.0
-#: Longest time in seconds between two probes.
+#: Upper bound of the interval between two probes, in seconds.
 MAX_PROBE_INTERVAL_S = 30.0
-#: Probes that must succeed in a row for the worker to come back.
+#: Consecutive successful probes required to readmit a worker.
 REQUIRED_PROBES = 2
-#: Workers on which a job must have failed, each doing other work well.
+#: Healthy workers on which a job must have failed to be poisoned.
 MIN_POISON_WORKERS = 2
-#: Failures of a job that had no success at all.
+#: Failures required to poison a job that never succeeded.
 MIN_POISON_FAILURES = 3
-#: Jobs that are remembered.
+#: Jobs tracked at most; the oldest is evicted first.
 MAX_JOBS = 10000
-#: Seconds for which a success speaks for a worker or a kind.
+#: Seconds for which a success counts as evidence that a worker or a kind is healthy.
 SUCCESS_WINDOW_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
 class WorkerRecord:
-    """What is known of one worker; times are monotonic."""
+    """Recent outcomes on one worker; times are monotonic."""
 
     last_success: dict[str, float] = dataclasses.field(default_factory=dict)
-    #: Kinds and jobs of the failures since the last success.
+    #: Kind and job of each failure since the last success.
     failures: list[tuple[str, str]] = dataclasses.field(default_factory=list)
     ejected: bool = False
     next_probe_at: float = 0.0
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
-    """Where a job's tasks failed, and how many succeeded anywhere."""
+    """Failures of a job by worker, and successes on all workers."""
 
     failures_by_worker: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -61,7 +62,7 @@
 
 
 class Ejection:
-    """Outcomes by worker and by job; `names` returns the workers in use."""
+    """Tracks outcomes by worker and job; `worker_names` returns the owned workers."""
 
     def __init__(
         self,
@@ -76,75 +77,75 @@
         self.jobs: dict[str, JobRecord] = {}
 
     def observe(self, worker: str, kind: str, job: str, ok: bool) -> None:
-        """Take in the end of a task; refused, lost and late ones count as failed."""
-        standing = self.workers.setdefault(worker, WorkerRecord())
-        record = self._job_record(job) if job else None
+        """Record the end of a task; refused, lost and late tasks count as failed."""
+        record = self.workers.setdefault(worker, WorkerRecord())
+        job_record = self._job_record(job) if job else None
         if ok:
-            self._on_success(worker, standing, kind)
-            if record:
-                record.successes += 1
+            self._on_success(worker, record, kind)
+            if job_record:
+                job_record.successes += 1
             return
-        if record:
-            record.failures_by_worker[worker] += 1
-        standing.failures = [*standing.failures[-CONSECUTIVE_FAILURES:], (kind, job)]
-        if standing.ejected:
-            self._on_probe_failure(standing)
-        elif self._is_at_fault(worker, standing) and self._may_eject():
-            self._eject(standing)
+        if job_record:
+            job_record.failures_by_worker[worker] += 1
+        record.failures = [*record.failures[-CONSECUTIVE_FAILURES:], (kind, job)]
+        if record.ejected:
+            self._on_probe_failure(record)
+        elif self._is_at_fault(worker, record) and self._may_eject():
+            self._eject(record)
 
     def is_ejected(self, worker: str) -> bool:
-        """Tell whether `worker` gets nothing but probes."""
-        standing = self.workers.get(worker)
-        return standing is not None and standing.ejected
+        """Return whether `worker` is ejected and receives only probes."""
+        record = self.workers.get(worker)
+        return record is not None and record.ejected
 
     def may_probe(self, worker: str) -> bool:
-        """Tell whether a single task may be tried on an ejected worker."""
-        standing = self.workers.get(worker)
-        return standing is not None and self.clock.monotonic() >= standing.next_probe_at
+        """Return whether a probe may be sent to an ejected worker now."""
+        record = self.workers.get(worker)
+        return record is not None and self.clock.monotonic() >= record.next_probe_at
 
     def poison_reason(self, job: str) -> str | None:
-        """Return why `job` can't succeed anywhere, or None."""
+        """Return why `job` is considered poisoned, or None if it is not."""
         record = self.jobs.get(job)
         if record is None or record.successes:
             return None
         if record.failures_by_worker.total() < MIN_POISON_FAILURES:
             return None
-        sound = [w for w in record.failures_by_worker if self._is_healthy(w)]
-        if len(sound) < min(MIN_POISON_WORKERS, len(self.worker_names())):
+        healthy = [w for w in record.failures_by_worker if self._is_healthy(w)]
+        if len(healthy) < min(MIN_POISON_WORKERS, len(self.worker_names())):
             return None
         return "fails_everywhere"
 
-    def _on_success(self, worker: str, standing: WorkerRecord, kind: str) -> None:
-        standing.last_success[kind] = self.clock.monotonic()
-        standing.failures = []
-        if not standing.ejected:
+    def _on_success(self, worker: str, record: WorkerRecord, kind: str) -> None:
+        record.last_success[kind] = self.clock.monotonic()
+        record.failures = []
+        if not record.ejected:
             return
-        standing.probe_successes += 1
-        if standing.probe_successes >= REQUIRED_PROBES:
-            self.workers[worker] = WorkerRecord(last_success=standing.last_success)
+        record.probe_successes += 1
+        if record.probe_successes >= REQUIRED_PROBES:
+            self.workers[worker] = WorkerRecord(last_success=record.last_success)
             self.counters.count("placement.readmitted")
 
-    def _is_at_fault(self, worker: str, standing: WorkerRecord) -> bool:
-        if len(standing.failures) < CONSECUTIVE_FAILURES:
+    def _is_at_fault(self, worker: str, record: WorkerRecord) -> bool:
+        if len(record.failures) < CONSECUTIVE_FAILURES:
             return False
         return any(
             self._succeeds_elsewhere(worker, kind) and self.poison_reason(job) is None
-            for kind, job in standing.failures
+            for kind, job in record.failures
         )
 
     def _succeeds_elsewhere(self, worker: str, kind: str) -> bool:
         now = self.clock.monotonic()
         return any(
-            now - standing.last_success.get(kind, -SUCCESS_WINDOW_S) < SUCCESS_WINDOW_S
-            for name, standing in self.workers.items()
+            now - record.last_success.get(kind, -SUCCESS_WINDOW_S) < SUCCESS_WINDOW_S
+            for name, record in self.workers.items()
             if name != worker
         )
 
     def _is_healthy(self, worker: str) -> bool:
-        standing = self.workers[worker]
+        record = self.workers[worker]
         now = self.clock.monotonic()
-        return not standing.ejected and any(
-            now - at < SUCCESS_WINDOW_S for at in standing.last_success.values()
+        return not record.ejected and any(
+            now - at < SUCCESS_WINDOW_S for at in record.last_success.values()
         )
 
     def _may_eject(self) -> bool:
@@ -155,15 +156,15 @@
             self.counters.count("placement.ejection_bounded")
         return ejected < limit
 
-    def _eject(self, standing: WorkerRecord) -> None:
-        standing.ejected = True
-        standing.next_probe_at = self.clock.monotonic() + standing.probe_interval
+    def _eject(self, record: WorkerRecord) -> None:
+        record.ejected = True
+        record.next_probe_at = self.clock.monotonic() + record.probe_interval
         self.counters.count("placement.ejected")
 
-    def _on_probe_failure(self, standing: WorkerRecord) -> None:
-        standing.probe_successes = 0
-        standing.probe_interval = min(standing.probe_interval * 2, MAX_PROBE_INTERVAL_S)
-        standing.next_probe_at = self.clock.monotonic() + standing.probe_interval
+    def _on_probe_failure(self, record: WorkerRecord) -> None:
+        record.probe_successes = 0
+        record.probe_interval = min(record.probe_interval * 2, MAX_PROBE_INTERVAL_S)
+        record.next_probe_at = self.clock.monotonic() + record.probe_interval
 
     def _job_record(self, job: str) -> JobRecord:
         if job not in self.jobs and len(self.jobs) >= MAX_JOBS:
--- a/src/mangosail/placement/fairness.py
+++ b/src/mangosail/placement/fairness.py
@@ -1,4 +1,4 @@
-"""Fair shares of the workers among teams: quotas, lending, and whose turn it is."""
+"""Fair sharing among teams: quotas, borrowing and scheduling order."""
 
 import collections.abc as cabc
 
@@ -7,16 +7,16 @@
 from mangosail.placement import usage as usages
 from mangosail.settings import schema
 
-#: Seconds for which a team that found no room counts as waiting.
+#: Seconds for which a team counts as waiting after it found no capacity.
 WAITING_TIMEOUT_S = 2.0
 
 
 class FairShare:
-    """Weighted dominant share: the team furthest below its quota goes first.
+    """Weighted dominant resource fairness: the lowest share of quota goes first.
 
-    `quotas` returns the quota in force for a team, `usage` what it has running::
+    `quotas` returns the quota of a team, `usage` the resources in use by team::
 
-        team = fair.next({"fuel-desk": 3, "plegadora": 40})
+        team = fair_share.next_team({"fuel-desk": 3, "plegadora": 40})
     """
 
     def __init__(
@@ -28,12 +28,12 @@
         self.quotas = quotas
         self.usage = usage
         self.clock = clock
-        #: Monotonic time until which each team counts as waiting.
+        #: Monotonic time until which each team counts as waiting for capacity.
         self.waiting_until: dict[str, float] = {}
         self.last_turns: dict[str, int] = {}
 
     def next_team(self, waiting_by_team: cabc.Mapping[str, int]) -> str | None:
-        """Return the team whose work is placed next, None if none waits."""
+        """Return the team whose work is placed next, None if no team waits."""
         usage = self.usage()
         waiting = [team for team, count in waiting_by_team.items() if count]
         for team in waiting:
@@ -48,20 +48,20 @@
         return team
 
     def mark_waiting(self, team: str) -> None:
-        """Note that `team` has work that found no room."""
+        """Record that `team` has work for which there is no capacity."""
         self.waiting_until[team] = self.clock.monotonic() + WAITING_TIMEOUT_S
 
     def dominant_share(
         self, team: str, usage: cabc.Mapping[str, usages.TeamUsage]
     ) -> float:
-        """Return the team's use as a share of its quota, by what is scarcest."""
+        """Return the largest fraction of quota in use, over all resources."""
         return self._dominant_share(team, usage.get(team, usages.TeamUsage()))
 
     def may_start(self, team: str, needs: resources.Resources) -> bool:
-        """Tell whether `team` may start work of `needs` now.
+        """Return whether `team` may start work of `needs` now.
 
-        Up to its quota it always may. Beyond it, it borrows what others leave,
-        until one of them that is below its own quota waits for room.
+        A team may always use its quota. Beyond that, it may borrow capacity while
+        no other team that is below its own quota is waiting.
         """
         usage = self.usage()
         added = usages.TeamUsage(needs.cpus, needs.accelerators)
@@ -82,6 +82,6 @@
             return 0.0
         shares = [used.cpus / quota.cpus]
         if used.accelerators:
-            # Without a quota of accelerators, each of them is borrowed.
+            # Without an accelerator quota, every accelerator counts as borrowed.
             shares.append(used.accelerators / max(quota.accelerators, 1e-9))
         return max(shares)
--- a/src/mangosail/placement/latency.py
+++ b/src/mangosail/placement/latency.py
@@ -1,44 +1,45 @@
-"""Run times of kinds, and how much kinds that share a worker slow each other.
+"""Learned run times, and the slowdown between kinds of work that share a worker.
 
-The time of a task is predicted as the time that its kind takes alone, times one
-plus the sum of what each neighbour adds, times how slow the worker itself has
-lately been. All three are learned from each task that ends::
+The run time of a task is predicted as the product of the baseline of its kind
+(its run time on an otherwise idle worker), an interference factor (one plus the
+slowdown that each neighbour adds) and a factor for the recent speed of the worker
+itself. All three are updated by each task that ends::
 
-    around = Surroundings("w1", {"batch.scan": 2}, load=0.6)
-    latencies.observe("fuel.quote", around, 0.031, now)
-    latencies.predict("fuel.quote", around, now)
+    colocation = Colocation("w1", {"batch.scan": 2}, load=0.6)
+    latencies.observe("fuel.quote", colocation, 0.031, now)
+    latencies.predict("fuel.quote", colocation, now)
 
-What a neighbour adds is kept for each pair of kinds and each of a few bands of
-load, because the same two kinds disturb each other more on a full worker.
+Slowdowns are stored by pair of kinds and by load band, because the same two kinds
+interfere more with each other on a heavily loaded worker.
 """
 
 import collections.abc as cabc
 import dataclasses
 import math
 
-#: Bands of load, from an idle worker to a full one.
+#: Number of load bands between an idle and a full worker.
 LOAD_BANDS = 4
-#: What an unknown neighbour is taken to add, as a share of the time alone. Taken
-#: for nearly harmless, a first wave fills the workers that quotes need before
-#: anything is learned of it.
+#: Slowdown assumed for an unknown neighbour, as a fraction of the baseline. With a
+#: prior close to zero, a first wave of batch tasks fills the workers that quotes need
+#: before its slowdown has been learned.
 PRIOR_SLOWDOWN = 0.3
-#: How far one observation moves an estimate towards itself.
+#: Weight of a new observation in an estimate.
 LEARNING_RATE = 0.15
-#: Largest error, in times alone, that one observation may teach.
+#: Limit of the error, in multiples of the baseline, that one observation applies.
 MAX_ERROR = 2.0
-#: Share by which an unused pair falls back to the prior each second.
+#: Rate per second at which a pair that is not observed decays to the prior.
 PAIR_DECAY_RATE = 0.005
-#: Seconds in which half of a worker's own slowness is forgotten.
+#: Half-life, in seconds, of the factor of a worker.
 WORKER_HALF_LIFE_S = 3.0
-#: Bounds of a worker's own factor.
+#: Lower and upper bound of the factor of a worker.
 WORKER_FACTOR_BOUNDS = (0.5, 20.0)
-#: Seconds that a kind is taken to run before one of it has ended.
+#: Run time, in seconds, assumed for a kind of which no task has ended yet.
 PRIOR_RUN_TIME_S = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class Estimate:
-    """A learned value and the monotonic time at which it was last taught."""
+    """A learned value and the monotonic time of its last update."""
 
     value: float
     updated_at: float
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Colocation:
-    """What a task meets: the worker, how many of each kind run, and its load."""
+    """Conditions on a worker: its name, its tasks by kind, and its load."""
 
     worker: str
     neighbours: cabc.Mapping[str, float]
@@ -54,12 +55,12 @@
 
 
 def load_band(load: float) -> int:
-    """Return the band in which `load`, from 0 to 1, lies."""
+    """Return the band of `load`, which is between 0 and 1."""
     return min(max(int(load * LOAD_BANDS), 0), LOAD_BANDS - 1)
 
 
 class Latencies:
-    """Learned run times; times are monotonic seconds that the caller gives."""
+    """Learned run times; all times are monotonic seconds passed by the caller."""
 
     def __init__(self) -> None:
         self.baselines: dict[str, float] = {}
@@ -67,39 +68,39 @@
         self.worker_factors: dict[str, Estimate] = {}
 
     def baseline(self, kind: str) -> float:
-        """Return the seconds that a task of `kind` takes alone."""
+        """Return the run time, in seconds, of `kind` on an otherwise idle worker."""
         return self.baselines.get(kind, PRIOR_RUN_TIME_S)
 
     def pair_slowdown(
         self, kind: str, neighbour: str, load: float, now: float
     ) -> float:
-        """Return what one neighbour of kind `other` adds to one of `kind`."""
+        """Return the slowdown that one task of kind `neighbour` adds to `kind`."""
         band = load_band(load)
-        # The nearest band that was taught speaks for one that was not.
+        # A band without an estimate uses that of the nearest band that has one.
         for distance in range(LOAD_BANDS):
             for near in (band - distance, band + distance):
                 found = self.pair_slowdowns.get((kind, neighbour, near))
                 if found is not None:
-                    kept = math.exp(-PAIR_DECAY_RATE * (now - found.updated_at))
-                    return PRIOR_SLOWDOWN + (found.value - PRIOR_SLOWDOWN) * kept
+                    decay = math.exp(-PAIR_DECAY_RATE * (now - found.updated_at))
+                    return PRIOR_SLOWDOWN + (found.value - PRIOR_SLOWDOWN) * decay
         return PRIOR_SLOWDOWN
 
     def interference_factor(
         self, kind: str, neighbours: cabc.Mapping[str, float], load: float, now: float
     ) -> float:
-        """Return by what factor `others` stretch a task of `kind`."""
+        """Return the factor by which `neighbours` slow down a task of `kind`."""
         return 1.0 + sum(
-            count * self.pair_slowdown(kind, other, load, now)
-            for other, count in neighbours.items()
+            count * self.pair_slowdown(kind, neighbour, load, now)
+            for neighbour, count in neighbours.items()
         )
 
     def worker_factor(self, worker: str, now: float) -> float:
-        """Return how slow `worker` itself has lately been; 1 is as others."""
+        """Return the recent slowness of `worker` itself; 1 is normal."""
         found = self.worker_factors.get(worker)
         if found is None:
             return 1.0
-        kept: float = 0.5 ** ((now - found.updated_at) / WORKER_HALF_LIFE_S)
-        return 1.0 + (found.value - 1.0) * kept
+        decay: float = 0.5 ** ((now - found.updated_at) / WORKER_HALF_LIFE_S)
+        return 1.0 + (found.value - 1.0) * decay
 
     def predict(
         self,
@@ -107,12 +108,14 @@
         colocation: Colocation,
         now: float,
     ) -> float:
-        """Return the seconds that a task of `kind` would take there."""
-        stretch = self.interference_factor(
+        """Return the predicted run time, in seconds, of a task of `kind`."""
+        interference = self.interference_factor(
             kind, colocation.neighbours, colocation.load, now
         )
         return (
-            self.baseline(kind) * stretch * self.worker_factor(colocation.worker, now)
+            self.baseline(kind)
+            * interference
+            * self.worker_factor(colocation.worker, now)
         )
 
     def observe(
@@ -122,7 +125,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Learn from a task of `kind` that took `seconds` beside `others`."""
+        """Update the estimates from a task of `kind` that took `seconds`."""
         if kind not in self.baselines:
             self.baselines[kind] = seconds
             return
@@ -131,21 +134,21 @@
             colocation.worker, seconds / max(predicted, 1e-9), now
         )
         scale = self.baseline(kind) * self.worker_factor(colocation.worker, now)
-        stretch = self.interference_factor(
+        interference = self.interference_factor(
             kind, colocation.neighbours, colocation.load, now
         )
-        error = seconds / max(scale, 1e-9) - stretch
+        error = seconds / max(scale, 1e-9) - interference
         step = LEARNING_RATE * min(max(error, -MAX_ERROR), MAX_ERROR)
-        # One step of normalised least mean squares; the time alone is the
-        # input that is always one, so it takes its share of the error.
+        # One step of normalised least mean squares. The baseline is the constant
+        # input of 1 and so takes its part of the error.
         norm = 1.0 + sum(count * count for count in colocation.neighbours.values())
         self.baselines[kind] *= max(1.0 + step / norm, 0.5)
-        for other, count in colocation.neighbours.items():
+        for neighbour, count in colocation.neighbours.items():
             value = (
-                self.pair_slowdown(kind, other, colocation.load, now)
+                self.pair_slowdown(kind, neighbour, colocation.load, now)
                 + step * count / norm
             )
-            key = (kind, other, load_band(colocation.load))
+            key = (kind, neighbour, load_band(colocation.load))
             self.pair_slowdowns[key] = Estimate(max(value, 0.0), now)
 
     def observe_loss(
@@ -155,10 +158,10 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Learn from a task of `kind` that had not ended after `seconds`.
+        """Update the worker factor from a task that had not ended after `seconds`.
 
-        Its true time is unknown, so it teaches nothing of the kinds; that it
-        took longer than predicted is held against the worker.
+        The true run time is unknown, so the estimates of kinds are not updated. If
+        the task took longer than predicted, the factor of the worker is raised.
         """
         predicted = self.predict(kind, colocation, now)
         if seconds > predicted:
@@ -167,12 +170,12 @@
             )
 
     def _update_worker_factor(self, worker: str, ratio: float, now: float) -> None:
-        # Only what exceeds the prediction by far is the worker's own doing;
-        # the rest is the neighbours', and is learned with the pair.
+        # Only a large deviation from the prediction is attributed to the worker; a
+        # small one is attributed to the neighbours and learned by pair.
         value = self.worker_factor(worker, now)
-        wanted = value * ratio
+        new_factor = value * ratio
         if 0.5 < ratio < 2.0 and value < 1.5:
-            wanted = 1.0
+            new_factor = 1.0
         low, high = WORKER_FACTOR_BOUNDS
-        value += LEARNING_RATE * (min(max(wanted, low), high) - value)
+        value += LEARNING_RATE * (min(max(new_factor, low), high) - value)
         self.worker_factors[worker] = Estimate(value, now)
--- a/src/mangosail/placement/learned.py
+++ b/src/mangosail/placement/learned.py
@@ -1,10 +1,11 @@
-"""The chooser that goes by predicted latency and predicted damage.
-
-Quotes go where they are predicted to end first. Batch goes where it is predicted
-to delay quotes least: each worker counts by the share of quotes it would attract,
-so noisy work gathers where quotes no longer go and the quiet workers stay quiet.
-For each kind of quote some slots are kept on the quietest workers: batch that
-would disturb or fill them is held back for a while, until room comes free elsewhere.
+"""Chooser based on learned latency and interference.
+
+A quote is placed on the worker with the lowest predicted latency. A batch task is
+placed where it is predicted to delay quotes least. Each worker is weighted by the
+share of quotes that it would attract, so interfering work accumulates on workers
+that quotes already avoid, and the other workers stay quiet. For each kind of quote,
+some slots are reserved on the quietest workers: batch work that would slow down or
+fill them is held back for a limited time, until capacity is free elsewhere.
 """
 
 import collections.abc as cabc
@@ -13,25 +14,25 @@
 from mangosail import clock as clocks
 from mangosail.placement import choice, latency, messages, residents, workers
 
-#: How strongly quotes are taken to prefer the faster worker; a power.
+#: Exponent of the assumed preference of quotes for faster workers.
 PREFERENCE_EXPONENT = 4.0
-#: Weight of the batch task's own delay beside the damage to quotes.
+#: Weight of the delay of the batch task itself, relative to the delay of quotes.
 OWN_DELAY_WEIGHT = 0.05
-#: Weight of equal load, which decides where nothing else does.
+#: Weight of the load of a worker; small, so that it only breaks ties.
 LOAD_WEIGHT = 0.01
-#: Stretch of a quote's time up to which a worker counts as quiet for it.
+#: Slowdown factor of a quote up to which a worker counts as quiet for it.
 MAX_QUIET_SLOWDOWN = 1.3
-#: Slots kept for quotes on the quietest workers. Fewer are all taken by a burst
-#: of short quotes, and the next one has to go where the noise has gathered.
+#: Slots reserved for quotes on the quietest workers. With fewer, a burst of short
+#: quotes takes all of them, and the next quote lands next to interfering work.
 QUIET_QUOTE_SLOTS = 4
-#: Seconds for which a kind of batch is held back in a row at most.
+#: Longest time, in seconds, for which a kind of batch work is held back.
 MAX_HOLD_S = 5.0
-#: Seconds after which a kind of quote that was not seen is left out.
+#: Seconds after the last quote of a kind until the kind is no longer considered.
 KIND_RETENTION_S = 60.0
 
 
 def effective_load(owned: workers.OwnedWorker) -> float:
-    """Return the worker's load from the ledger and from its last report."""
+    """Return the higher of the reserved and the last reported load of a worker."""
     measured = owned.usage.cpus / max(owned.worker.capacity.cpus, 1e-9)
     return max(choice.load(owned), min(measured, 1.0))
 
@@ -39,14 +40,14 @@
 def colocation_on(
     owned: workers.OwnedWorker, resident_tasks: residents.Residents
 ) -> latency.Colocation:
-    """Return what a task would meet on a worker as it is now."""
+    """Return the current conditions on a worker for a new task."""
     return latency.Colocation(
         owned.name, resident_tasks.kinds_on(owned), effective_load(owned)
     )
 
 
 class Learned:
-    """Chooses by what `latencies` predicts for the work that shares a worker."""
+    """Selects workers by the predictions of `latencies` for co-located work."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
         self.random = random.Random(seed)
         #: Monotonic time at which each kind of quote was last placed.
         self.last_quote_at: dict[str, float] = {}
-        #: Monotonic time since which each kind of batch has found no place.
+        #: Monotonic time since which each kind of batch work has been held back.
         self.held_since: dict[str, float] = {}
 
     def choose(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> workers.OwnedWorker:
-        """Return the worker with the least latency, or the least damage."""
+        """Return the worker with the lowest predicted latency or delay to quotes."""
         now = self.clock.monotonic()
         if work.work_class is messages.WorkClass.QUOTE:
             self.last_quote_at[work.kind] = now
@@ -84,21 +85,21 @@
     def suitable(
         self, candidates: cabc.Sequence[workers.OwnedWorker], work: messages.Work
     ) -> list[workers.OwnedWorker]:
-        """Return `candidates` but the workers kept quiet for some kind of quote."""
-        everywhere = [owned for owned in self.residents.owned if owned.accepts()]
-        if work.work_class is not messages.WorkClass.BATCH or len(everywhere) < 2:
+        """Return `candidates` without the workers reserved for quotes."""
+        accepting = [owned for owned in self.residents.owned if owned.accepts()]
+        if work.work_class is not messages.WorkClass.BATCH or len(accepting) < 2:
             return list(candidates)
         now = self.clock.monotonic()
-        kept: set[str] = set()
+        reserved: set[str] = set()
         for kind in self._active_quote_kinds(now):
-            kept |= self._reserved_for_quotes(kind, everywhere, work, now)
-        suitable = [owned for owned in candidates if owned.name not in kept]
+            reserved |= self._reserved_for_quotes(kind, accepting, work, now)
+        suitable = [owned for owned in candidates if owned.name not in reserved]
         if suitable or not candidates:
             self.held_since.pop(work.kind, None)
             return suitable
         if now - self.held_since.setdefault(work.kind, now) < MAX_HOLD_S:
             return []
-        # Work that fits nowhere else must not wait for ever.
+        # Work that fits on no other worker must not starve.
         return list(candidates)
 
     def _reserved_for_quotes(
@@ -108,36 +109,36 @@
         work: messages.Work,
         now: float,
     ) -> set[str]:
-        """Return the workers that quotes of `kind` need to be without `work`.
+        """Return the workers on which quotes of `kind` need `work` not to run.
 
-        They are the quietest ones that together have the slots. If none of them
-        is quiet, they take no batch until they are.
+        These are the quietest workers that together have the reserved slots. Those
+        that are not quiet take no batch work until they are.
         """
-        stretched = self._slowdowns(kind, accepting, now)
+        slowdowns = self._slowdowns(kind, accepting, now)
         slots = {owned.name: self._slots_for_quotes(owned) for owned in accepting}
-        quiet = [o.name for o in accepting if stretched[o.name] <= MAX_QUIET_SLOWDOWN]
-        left = sum(slots[name] for name in quiet) - work.needs.slots
-        found: set[str] = set()
+        quiet = [o.name for o in accepting if slowdowns[o.name] <= MAX_QUIET_SLOWDOWN]
+        quiet_slots_left = sum(slots[name] for name in quiet) - work.needs.slots
+        reserved: set[str] = set()
         covered = 0
-        # Quiet workers count as equal, so that the same ones stay kept.
+        # Quiet workers rank equally, so that the same ones stay reserved.
         for owned in sorted(
-            accepting, key=lambda o: max(stretched[o.name], MAX_QUIET_SLOWDOWN)
+            accepting, key=lambda o: max(slowdowns[o.name], MAX_QUIET_SLOWDOWN)
         ):
             added = self.latencies.pair_slowdown(
                 kind, work.kind, effective_load(owned), now
             )
             if (
-                left < QUIET_QUOTE_SLOTS
-                or stretched[owned.name] + added > MAX_QUIET_SLOWDOWN
+                quiet_slots_left < QUIET_QUOTE_SLOTS
+                or slowdowns[owned.name] + added > MAX_QUIET_SLOWDOWN
             ):
-                found.add(owned.name)
+                reserved.add(owned.name)
             covered += slots[owned.name]
             if covered >= QUIET_QUOTE_SLOTS:
                 break
-        return found
+        return reserved
 
     def _slots_for_quotes(self, owned: workers.OwnedWorker) -> int:
-        """Return the slots that are free or that quotes have, which are short."""
+        """Return the slots that are free or used by quotes, which end soon."""
         taken = sum(
             work.needs.slots
             for work in self.residents.work_on(owned)
@@ -146,13 +147,15 @@
         return owned.worker.capacity.slots - taken
 
     def _active_quote_kinds(self, now: float) -> list[str]:
-        seen = self.last_quote_at.items()
-        return [kind for kind, seen_at in seen if now - seen_at <= KIND_RETENTION_S]
+        kinds = self.last_quote_at.items()
+        return [
+            kind for kind, quoted_at in kinds if now - quoted_at <= KIND_RETENTION_S
+        ]
 
     def _slowdowns(
         self, kind: str, owned_workers: cabc.Sequence[workers.OwnedWorker], now: float
     ) -> dict[str, float]:
-        """Return by what factor a quote of `kind` is stretched on each worker."""
+        """Return the slowdown factor of a quote of `kind` on each worker."""
         return {
             owned.name: self.latencies.interference_factor(
                 kind, self.residents.kinds_on(owned), effective_load(owned), now
@@ -164,7 +167,7 @@
     def predicted_latency(
         self, owned: workers.OwnedWorker, work: messages.Work, now: float
     ) -> float:
-        """Return the predicted seconds of `work` on a worker as it is now."""
+        """Return the predicted run time of `work` on a worker, in seconds."""
         return self.latencies.predict(
             work.kind, colocation_on(owned, self.residents), now
         )
@@ -175,25 +178,25 @@
         work: messages.Work,
         now: float,
     ) -> dict[str, float]:
-        """Return for each worker what the batch task would cost there."""
+        """Return the cost of placing the batch task on each worker."""
         costs = {
             owned.name: self._own_delay(owned, work, now)
             + LOAD_WEIGHT * choice.load(owned)
             for owned in candidates
         }
         for kind in self._active_quote_kinds(now):
-            for owned, damage in self._delay_to_quotes(kind, candidates, work, now):
-                costs[owned.name] += damage
+            for owned, delay in self._delay_to_quotes(kind, candidates, work, now):
+                costs[owned.name] += delay
         return costs
 
     def _own_delay(
         self, owned: workers.OwnedWorker, work: messages.Work, now: float
     ) -> float:
         others = self.residents.kinds_on(owned)
-        shared = self.latencies.interference_factor(
+        factor = self.latencies.interference_factor(
             work.kind, others, effective_load(owned), now
         )
-        return OWN_DELAY_WEIGHT * (shared - 1.0)
+        return OWN_DELAY_WEIGHT * (factor - 1.0)
 
     def _delay_to_quotes(
         self,
@@ -202,16 +205,16 @@
         work: messages.Work,
         now: float,
     ) -> list[tuple[workers.OwnedWorker, float]]:
-        """Return what `work` adds to quotes of `kind`, by what each attracts."""
-        stretched = self._slowdowns(kind, candidates, now)
-        fastest = min(stretched.values())
+        """Return the delay of quotes of `kind`, weighted by the quotes attracted."""
+        slowdowns = self._slowdowns(kind, candidates, now)
+        fastest = min(slowdowns.values())
         return [
             (
                 owned,
                 self.latencies.pair_slowdown(
                     kind, work.kind, effective_load(owned), now
                 )
-                * (fastest / stretched[owned.name]) ** PREFERENCE_EXPONENT,
+                * (fastest / slowdowns[owned.name]) ** PREFERENCE_EXPONENT,
             )
             for owned in candidates
         ]
--- a/src/mangosail/placement/ledger.py
+++ b/src/mangosail/placement/ledger.py
@@ -1,12 +1,12 @@
-"""The ledger of one worker: what it can carry and what is reserved on it.
+"""Reservation ledger of one worker: its capacity and what is reserved on it.
 
-Everything that may run on the worker is entered before it is started and
-removed only when it certainly has ended, so the sum never understates the
-worker's load.
+A task is entered before it is started and removed only once it is certain to have
+ended, so the sum never understates the load of the worker.
 
-While the owner's lease holds, it may use all of the worker but what earlier
-owners may still use. Once the lease has lapsed it keeps half of what durable
-work did not take, for idempotent quotes only; see `kept_after_expiry`.
+While the lease of the owner is valid, it may use the whole worker except what
+previous owners may still use. After the lease has expired, it keeps half of the
+capacity not taken by durable work, for idempotent quotes only; see
+`kept_after_expiry`.
 """
 
 import collections.abc as cabc
@@ -20,10 +20,10 @@
 def kept_after_expiry(
     budget: resources.Resources, durable: resources.Resources
 ) -> resources.Resources:
-    """Return what an owner may go on using once its lease has lapsed.
+    """Return the resources that an owner may use after its lease has expired.
 
-    Durable work only shrinks after the lapse, so whoever computes this later
-    from the worker's own list gets at least as much as the owner keeps::
+    Durable work only shrinks after the expiry, so computing this later from the
+    list of tasks of the worker yields at least as much as the owner keeps::
 
         >>> kept_after_expiry(Resources(slots=8), Resources(slots=2)).slots
         3
@@ -32,12 +32,12 @@
 
 
 class Ledger:
-    """Reservations against one worker's capacity.
+    """Reservations against the capacity of one worker.
 
-    `lease_holds` tells whether the owner's lease holds now. Each method asks it
-    first, so what is kept is fixed from the durable work as it was at the
-    lapse: an owner that wakes from a freeze must not count on room that durable
-    work left meanwhile, because the next owner has counted on it as well.
+    `lease_holds` returns whether the lease of the owner is valid. Methods check it
+    first, so that the kept resources are computed from the durable work at the time
+    of expiry. An owner that resumes after a freeze must not use capacity released by
+    durable work in the meantime, because the next owner may already be using it.
     """
 
     def __init__(
@@ -49,24 +49,24 @@
         self.lease_holds = lease_holds
         self.reserved: dict[str, resources.Resources] = {}
         self.used = ZERO_RESOURCES
-        #: Tasks in `reserved` that are idempotent, and their sum.
+        #: Idempotent tasks in `reserved`, and the sum of their needs.
         self.idempotent: set[str] = set()
         self.idempotent_used = ZERO_RESOURCES
-        #: Tasks that were entered from the worker's own list.
+        #: Tasks that were added from a report of the worker.
         self.reported: set[str] = set()
-        #: What each earlier owner may use, by generation, as the owner row says.
+        #: What each previous owner may use, by generation, from the owner row.
         self.promised: dict[int, resources.Resources] = {}
-        #: What the worker says that earlier owners' quotes use, by generation.
+        #: Resources used by quotes of previous owners, by generation, as reported.
         self.previous_used: dict[int, resources.Resources] = {}
-        #: What is kept since the lapse, or None while the lease holds.
+        #: Resources kept since the lease expired, or None while it is valid.
         self.kept: resources.Resources | None = None
-        #: True once ownership ended: nothing is started any more.
+        #: True once ownership has ended: no more tasks are started.
         self.closed = False
 
     def reserve(
         self, task_id: str, needs: resources.Resources, durable: bool = True
     ) -> bool:
-        """Enter `task_id` if it fits, and tell whether it did."""
+        """Reserve `needs` for `task_id` and return whether they fit."""
         free = self.free(durable)
         if self.closed or (durable and self.kept is not None):
             return False
@@ -78,7 +78,7 @@
     def add(
         self, task_id: str, needs: resources.Resources, durable: bool = True
     ) -> None:
-        """Enter a task that runs already, whether it fits or not."""
+        """Add a task that is already running, whether or not it fits."""
         self.release(task_id)
         self.reserved[task_id] = needs
         self.used = self.used + needs
@@ -87,7 +87,7 @@
             self.idempotent_used = self.idempotent_used + needs
 
     def release(self, task_id: str) -> None:
-        """Remove `task_id`; nothing happens if it is not there."""
+        """Remove `task_id` if it is present."""
         self._update_kept()
         needs = self.reserved.pop(task_id, None)
         if needs is None:
@@ -97,14 +97,14 @@
         if task_id in self.idempotent:
             self.idempotent.remove(task_id)
             self.idempotent_used = self.idempotent_used - needs
-        # Sums of fractions drift; an empty ledger is exactly zero again.
+        # Floating-point sums drift, so an empty ledger is reset to exactly zero.
         if not self.idempotent:
             self.idempotent_used = ZERO_RESOURCES
         if not self.reserved:
             self.used = ZERO_RESOURCES
 
     def free(self, durable: bool = True) -> resources.Resources:
-        """Return what may be started now, of durable or idempotent work."""
+        """Return the resources available to new durable or idempotent work."""
         self._update_kept()
         if self.closed:
             return ZERO_RESOURCES
@@ -115,15 +115,16 @@
         return self.kept - self.idempotent_used
 
     def budget(self) -> resources.Resources:
-        """Return the capacity without what earlier owners may use."""
+        """Return the capacity minus what previous owners may use."""
         return self.capacity - self.withheld()
 
     def withheld(self) -> resources.Resources:
-        """Return what is kept back for earlier owners.
+        """Return the resources withheld for previous owners.
 
-        Each can use what it was promised, and has more in flight if it lapsed
-        with more; one's excess does not fit into another's promise, so the
-        larger of the two is taken for each, not for their sums.
+        A previous owner can use what it was promised, and may have more in flight if
+        it held more when its lease expired. The excess of one owner cannot be covered
+        by the promise to another, so the larger of both is taken for each owner
+        rather than for the sums.
         """
         withheld = ZERO_RESOURCES
         for generation in self.promised.keys() | self.previous_used.keys():
@@ -133,11 +134,11 @@
         return withheld
 
     def within_capacity(self) -> bool:
-        """Tell whether all that is reserved fits in the capacity."""
+        """Return whether all reservations fit in the capacity."""
         return self.used.fits_in(self.capacity)
 
     def rebuild(self, running: cabc.Iterable[messages.Report], generation: int) -> None:
-        """Replace all reservations by what the worker itself says it runs."""
+        """Replace all reservations by the tasks that the worker reports as running."""
         self._update_kept()
         for task_id in list(self.reserved):
             self.release(task_id)
@@ -149,20 +150,20 @@
         self.follow(running, generation)
 
     def follow(self, running: cabc.Iterable[messages.Report], generation: int) -> None:
-        """Remove listed tasks that ended; see what earlier owners' quotes use."""
+        """Remove reported tasks that ended; update the usage of previous owners."""
         self._update_kept()
         running = list(running)
         for task_id in self.reported - {report.task_id for report in running}:
             self.release(task_id)
         used: dict[int, resources.Resources] = {}
         for report in running:
-            earlier = report.owner_generation
-            if report.idempotent and earlier < generation:
-                used[earlier] = used.get(earlier, ZERO_RESOURCES) + report.needs
+            owner = report.owner_generation
+            if report.idempotent and owner < generation:
+                used[owner] = used.get(owner, ZERO_RESOURCES) + report.needs
         self.previous_used = used
 
     def _update_kept(self) -> None:
-        """Fix what is kept when the lease lapsed; be whole when it holds again."""
+        """Set `kept` once the lease has expired; clear it when it is valid again."""
         if self.lease_holds():
             self.kept = None
         elif self.kept is None:
--- a/src/mangosail/placement/messages.py
+++ b/src/mangosail/placement/messages.py
@@ -1,4 +1,4 @@
-"""Work as placement sees it."""
+"""Description of work to be placed."""
 
 import dataclasses
 import enum
@@ -7,11 +7,11 @@
 
 
 class WorkClass(enum.StrEnum):
-    """What kind of promise stands behind a piece of work; earlier ones go first."""
+    """Service class of a piece of work, in descending priority."""
 
-    #: Latency-critical: a caller waits for the answer.
+    #: Latency-critical request: a caller waits for the answer.
     QUOTE = "quote"
-    #: Runs once for a caller who may wait a little.
+    #: Runs once, for a caller that can tolerate some delay.
     TASK = "task"
     #: A task of a batch job.
     BATCH = "batch"
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """A piece of work that asks for a worker; `needs` are as declared.
+    """A piece of work to be placed on a worker; `needs` are the declared ones.
 
-    `job` is the batch job that the work is a task of, or empty.
+    `job` is the batch job to which the work belongs, or empty.
     """
 
     task_id: str
--- a/src/mangosail/placement/placer.py
+++ b/src/mangosail/placement/placer.py
@@ -1,10 +1,10 @@
-"""The one way from a piece of work to a reserved place on a worker, and back.
+"""Placement of work on workers, from reservation to release.
 
-What callers do with it is always the same::
+All callers use it in the same way::
 
     placed = placer.place(work, deadline)
     ...  # run it
-    placer.ended(work.task_id, ok=True)
+    placer.finish(work.task_id, ok=True)
 """
 
 import collections
@@ -38,27 +38,28 @@
 
 log = logbook.Logger("placement")
 
-#: Slots of each worker that only latency-critical work may take.
+#: Slots of each worker reserved for latency-critical work.
 QUOTE_ONLY_SLOTS = 2
-#: Share of each worker's processors that only latency-critical work may take.
+#: Fraction of the processors of each worker reserved for latency-critical work.
 QUOTE_ONLY_CPU_SHARE = 0.125
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """A reservation, with what shared the worker when it was made."""
+    """A reservation, with the conditions on the worker when it was made."""
 
     work: messages.Work
     owned: workers.OwnedWorker
     colocation: latency.Colocation
-    #: Monotonic time at which it was made.
+    #: Monotonic time of the reservation.
     placed_at: float
 
 
 class Placer:
-    """Decides where work runs and learns from how it went.
+    """Selects workers for work and learns from its outcomes.
 
-    `quotas` returns a team's quota, `capacities` what each listed worker carries.
+    `quotas` returns the quota of a team, `capacities` the capacities of all listed
+    workers.
     """
 
     def __init__(
@@ -84,11 +85,11 @@
         )
         self.usage = usages.Usage(owned, self.residents)
         self.fair_share = fairness.FairShare(quotas, self.usage.total, clock)
-        #: Reservations that have not ended, by task id.
+        #: Reservations that have not been released, by task id.
         self.active: dict[str, Placement] = {}
-        #: Run times of tasks that their workers say have ended.
+        #: Run times, by task id, of tasks that their workers reported as ended.
         self.reported_seconds: dict[str, float] = {}
-        #: Wall time of the last measurement taken in from each worker.
+        #: Wall time of the last measurement processed, by worker.
         self.measured_at: dict[str, float] = {}
 
     def place(
@@ -97,14 +98,14 @@
         deadline: float | None = None,
         avoid: frozenset[str] = frozenset(),
     ) -> result.Result[Placement, errors.NotPlaced]:
-        """Reserve a place for `work`, or tell why there is none.
+        """Reserve capacity on a worker for `work`, or return why that is impossible.
 
-        `deadline` is the monotonic time until which a caller waits; the workers
-        to `avoid` are those that have just failed the same work.
+        `deadline` is the monotonic time until which the caller waits. Workers in
+        `avoid` are excluded because they have just failed the same work.
         """
-        final = self._permanent_refusal(work)
-        if final is not None:
-            return self._refuse(final, None)
+        permanent = self._permanent_refusal(work)
+        if permanent is not None:
+            return self._refuse(permanent, None)
         work = self._with_learned_size(work)
         if not self._within_quota(work):
             return self._refuse(errors.Reason.QUOTA, self._retry_after(work.team))
@@ -117,9 +118,9 @@
         return self._reserve(work, owned)
 
     def wait_reason(self, work: messages.Work) -> errors.NotPlaced | None:
-        """Return why `work` has to wait, None if `place` would decide on it now.
+        """Return why `work` has to wait, or None if `place` should be called now.
 
-        Work that can never run doesn't wait: `place` refuses it for good.
+        Work that can never run does not wait: `place` refuses it permanently.
         """
         if self._permanent_refusal(work) is not None:
             return None
@@ -132,7 +133,7 @@
         return errors.NotPlaced(errors.Reason.NO_CAPACITY, self._retry_after())
 
     def candidates(self, work: messages.Work) -> list[workers.OwnedWorker]:
-        """Return the workers that can take `work` now."""
+        """Return the workers that can accept `work` now."""
         fitting = [
             owned
             for owned in self.owned.fitting(
@@ -143,36 +144,38 @@
         return self.chooser.suitable(fitting, work)
 
     def finish(self, task_id: str, ok: bool) -> None:
-        """Give the place back, and learn from how the work went.
+        """Release the reservation and record the outcome of the work.
 
-        The run time that the worker told counts, else the time since the place
-        was reserved. Refused, lost and late work is not `ok`.
+        Refused, lost and late work is not `ok`.
         """
         self.record_outcome(task_id, ok)
         self.release(task_id)
 
     def record_outcome(self, task_id: str, ok: bool) -> None:
-        """Learn from how the work went, and keep the place reserved.
+        """Record the outcome of the work and keep the reservation.
 
-        Work whose answer was lost may run still.
+        The run time is the one reported by the worker, otherwise the time since the
+        reservation. Work whose answer was lost may still be running.
         """
         placed = self.active.get(task_id)
         if placed is None:
             return
-        told = self.reported_seconds.get(task_id)
+        reported = self.reported_seconds.get(task_id)
         work, worker = placed.work, placed.owned.name
         self.ejection.observe(worker, work.kind, job_key(work), ok)
-        seconds = self.clock.monotonic() - placed.placed_at if told is None else told
+        seconds = (
+            self.clock.monotonic() - placed.placed_at if reported is None else reported
+        )
         self._learn(placed, seconds, ok)
 
     def record_timeout(self, task_id: str) -> None:
-        """Learn that the work has not ended yet, and was given up."""
+        """Record that the work was abandoned before it ended."""
         placed = self.active.get(task_id)
         if placed is not None:
             self._learn(placed, self.clock.monotonic() - placed.placed_at, ok=False)
 
     def release(self, task_id: str) -> Placement | None:
-        """Give the place back without learning anything."""
+        """Release the reservation without recording an outcome."""
         self.reported_seconds.pop(task_id, None)
         placed = self.active.pop(task_id, None)
         if placed is None:
@@ -182,7 +185,7 @@
         return placed
 
     def on_snapshot(self, worker: str, snapshot: dispatch_messages.Snapshot) -> None:
-        """Take in measured sizes, and tasks that an earlier owner started."""
+        """Process measured sizes, ended tasks and tasks of previous owners."""
         for report in snapshot.tasks:
             if report.state is not dispatch_messages.TaskState.RUNNING:
                 if report.task_id in self.active:
@@ -200,10 +203,10 @@
                 self.sizes.learn(size_key(work), measured)
 
     def on_unreachable(self, worker: str) -> None:
-        """Keep all places: what was started there may run still."""
+        """Keep all reservations, since the tasks may still be running."""
 
     def _permanent_refusal(self, work: messages.Work) -> errors.Reason | None:
-        """Return why `work` can never run, or None."""
+        """Return why `work` can never run, or None if it can."""
         if not self.sizes.fits_any(work.needs):
             return errors.Reason.TOO_LARGE
         if work.job and self.ejection.poison_reason(job_key(work)):
@@ -215,22 +218,22 @@
         return dataclasses.replace(work, needs=needs)
 
     def _within_quota(self, work: messages.Work) -> bool:
-        # Class goes first: a quote is short and is not held back for batch.
+        # Service class takes precedence: quotes are short and exempt from quotas.
         if work.work_class is messages.WorkClass.QUOTE:
             return True
         return self.fair_share.may_start(work.team, work.needs)
 
     def _open_to(self, owned: workers.OwnedWorker, work: messages.Work) -> bool:
         if self.ejection.is_ejected(owned.name):
-            # A probe may fail, so it is never work that must not run twice.
-            probes = work.work_class is not messages.WorkClass.TASK
+            # A probe may fail, so work that must not run twice is never used as one.
+            may_be_probe = work.work_class is not messages.WorkClass.TASK
             idle = not owned.ledger.reserved
-            return probes and idle and self.ejection.may_probe(owned.name)
+            return may_be_probe and idle and self.ejection.may_probe(owned.name)
         if work.work_class is not messages.WorkClass.BATCH:
             return True
         if owned.reserved_for == work.task_id:
-            # The worker was cleared for this task; headroom could keep a task
-            # that needs nearly all of it waiting for ever.
+            # The worker was cleared for this task. Requiring headroom could starve a
+            # task that needs almost the whole worker.
             return True
         needs = work.needs + headroom(owned, work.needs)
         return needs.fits_in(owned.ledger.free())
@@ -247,29 +250,29 @@
         self, work: messages.Work, owned: workers.OwnedWorker, deadline: float
     ) -> bool:
         now = self.clock.monotonic()
-        around = learned.colocation_on(owned, self.residents)
-        predicted = self.latencies.predict(work.kind, around, now)
+        colocation = learned.colocation_on(owned, self.residents)
+        predicted = self.latencies.predict(work.kind, colocation, now)
         admitted = self.admission.admits(work.kind, predicted, deadline, now)
         if not admitted:
-            # Callers hear "deadline" at once, although their time is not over. What
-            # the prediction is made of tells a full worker from a wrong estimate.
+            # The caller is refused with "deadline" before its deadline has passed. The
+            # terms of the prediction distinguish a busy worker from a wrong estimate.
             log.info(
-                "too late by prediction", task=work.task_id, worker=owned.name,
+                "deadline cannot be met", task=work.task_id, worker=owned.name,
                 left=round(deadline - now, 3), predicted=round(predicted, 3),
                 alone=round(self.latencies.baseline(work.kind), 4),
                 factor=round(self.latencies.worker_factor(owned.name, now), 2),
-                others=dict(around.neighbours), load=round(around.load, 2),
+                others=dict(colocation.neighbours), load=round(colocation.load, 2),
             )  # fmt: skip
         return admitted
 
     def _reserve(
         self, work: messages.Work, owned: workers.OwnedWorker
     ) -> result.Result[Placement, errors.NotPlaced]:
-        around = learned.colocation_on(owned, self.residents)
+        colocation = learned.colocation_on(owned, self.residents)
         if not owned.ledger.reserve(work.task_id, work.needs, is_durable(work)):
             return self._refuse(errors.Reason.NO_CAPACITY, self._retry_after())
         self.residents.add(work)
-        placed = Placement(work, owned, around, self.clock.monotonic())
+        placed = Placement(work, owned, colocation, self.clock.monotonic())
         self.active[work.task_id] = placed
         return result.Ok(placed)
 
@@ -281,16 +284,16 @@
             for work in self.residents.work_on(placed.owned)
             if work.task_id != placed.work.task_id
         )
-        # Neighbours come and go while a task runs; the mean of both ends is
-        # nearer to what it felt than either.
-        others = {
+        # Neighbours start and end while a task runs. The mean of the counts at its
+        # start and end is closer to the conditions it saw than either of them.
+        neighbours = {
             kind: (before.get(kind, 0) + after[kind]) / 2
             for kind in set(before) | set(after)
         }
-        teach = self.latencies.observe if ok else self.latencies.observe_loss
-        teach(
+        observe = self.latencies.observe if ok else self.latencies.observe_loss
+        observe(
             placed.work.kind,
-            dataclasses.replace(placed.colocation, neighbours=others),
+            dataclasses.replace(placed.colocation, neighbours=neighbours),
             seconds,
             now,
         )
@@ -305,7 +308,7 @@
         return self.admission.retry_after(running, self.clock.monotonic())
 
     def _release_lost(self) -> None:
-        """Let go of places on workers that were lost with what ran there."""
+        """Release reservations on workers that are no longer owned."""
         for task_id, placed in list(self.active.items()):
             if self.owned.get(placed.owned.name) is not placed.owned:
                 self.release(task_id)
@@ -329,9 +332,9 @@
 def headroom(
     owned: workers.OwnedWorker, needs: resources.Resources
 ) -> resources.Resources:
-    """Return what batch of `needs` has to leave free on a worker for quotes.
+    """Return the resources that batch work of `needs` must leave free for quotes.
 
-    It is never so much that a task which needs a whole worker could not run.
+    It is limited so that a task that needs a whole worker can still run.
     """
     capacity = owned.worker.capacity
     return resources.Resources(
@@ -344,27 +347,27 @@
 
 
 def is_durable(work: messages.Work) -> bool:
-    """Tell whether the work may only be started while the lease holds."""
+    """Return whether the work may be started only while the lease is valid."""
     return work.work_class is not messages.WorkClass.QUOTE
 
 
 def batch_task_id(work: messages.Work) -> str:
-    """Return the id of a batch task, empty for other work."""
+    """Return the task id of a batch task, or an empty string for other work."""
     return work.task_id if work.work_class is messages.WorkClass.BATCH else ""
 
 
 def size_key(work: messages.Work) -> str:
-    """Return the key of learned sizes: one team's kinds don't size another's."""
+    """Return the key of the learned size; sizes are not shared between teams."""
     return f"{work.team}/{work.kind}"
 
 
 def job_key(work: messages.Work) -> str:
-    """Return the key of the work's job, empty if it is of none."""
+    """Return the key of the job of the work, or an empty string without a job."""
     return f"{work.team}/{work.job}" if work.job else ""
 
 
 def work_from_report(report: dispatch_messages.Report) -> messages.Work:
-    """Return a task that a worker tells of as placement sees it."""
+    """Return the work that corresponds to a task reported by a worker."""
     return messages.Work(
         report.task_id,
         report.team,
--- a/src/mangosail/placement/residents.py
+++ b/src/mangosail/placement/residents.py
@@ -1,19 +1,19 @@
-"""Which work shares a worker: the kinds behind the ledger's reservations."""
+"""Metadata of the tasks that share a worker, by the reservations in its ledger."""
 
 import collections
 import collections.abc as cabc
 
 from mangosail.placement import messages, workers
 
-#: Remembered pieces of work after which those on no ledger are forgotten.
+#: Number of entries above which those not in any ledger are removed.
 PRUNE_THRESHOLD = 4096
 
 
 class Residents:
-    """What is known of each task that a ledger holds.
+    """Metadata of each task that has a reservation in a ledger.
 
-    The ledger says whether a task runs, so a task that ended in any way at all
-    can't stay here as a neighbour.
+    The ledger decides whether a task is running, so a task that has ended in any way
+    is never counted as a neighbour.
     """
 
     def __init__(self, owned: cabc.Iterable[workers.OwnedWorker]) -> None:
@@ -21,22 +21,22 @@
         self.by_task_id: dict[str, messages.Work] = {}
 
     def add(self, work: messages.Work) -> None:
-        """Remember `work` before or after it is entered in a ledger."""
+        """Add `work`, before or after it is added to a ledger."""
         if len(self.by_task_id) >= PRUNE_THRESHOLD:
             self._prune()
         self.by_task_id[work.task_id] = work
 
     def remove(self, task_id: str) -> messages.Work | None:
-        """Forget a task and return what was known of it."""
+        """Remove a task and return its work, or None if it is unknown."""
         return self.by_task_id.pop(task_id, None)
 
     def work_on(self, owned: workers.OwnedWorker) -> list[messages.Work]:
-        """Return the known work that the worker carries now."""
+        """Return the known work with a reservation on a worker."""
         reserved = owned.ledger.reserved
         return [self.by_task_id[task] for task in reserved if task in self.by_task_id]
 
     def kinds_on(self, owned: workers.OwnedWorker) -> collections.Counter[str]:
-        """Return how many tasks of each kind run there."""
+        """Return the number of tasks of each kind on a worker."""
         return collections.Counter(work.kind for work in self.work_on(owned))
 
     def _prune(self) -> None:
--- a/src/mangosail/placement/usage.py
+++ b/src/mangosail/placement/usage.py
@@ -1,4 +1,4 @@
-"""What each team has running, here and on the other instances."""
+"""Resource usage by team, on this instance and on its peers."""
 
 import collections.abc as cabc
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamUsage:
-    """What a team has running, on this instance or on all together."""
+    """Resources used by the running work of a team."""
 
     cpus: float = 0.0
     accelerators: int = 0
@@ -18,9 +18,9 @@
 
 
 class Usage:
-    """Running processors and accelerators by team.
+    """Processors and accelerators in use by team.
 
-    `own` is what a heartbeat tells peers, and `peers` returns what they told::
+    `local` is sent to peers in heartbeats, and `peers` returns what peers sent::
 
         usage.peers = lambda: {"fuel-desk": TeamUsage(cpus=12.0)}
     """
@@ -35,7 +35,7 @@
         self.peers: cabc.Callable[[], cabc.Mapping[str, TeamUsage]] = dict
 
     def local(self) -> dict[str, TeamUsage]:
-        """Return what each team has running on this instance's workers."""
+        """Return the usage of each team on the workers of this instance."""
         total: dict[str, TeamUsage] = {}
         for owned in self.owned:
             for work in self.residents.work_on(owned):
@@ -44,7 +44,7 @@
         return total
 
     def total(self) -> dict[str, TeamUsage]:
-        """Return what each team has running on all instances."""
+        """Return the usage of each team on all instances."""
         total = self.local()
         for team, used in self.peers().items():
             total[team] = total.get(team, TeamUsage()) + used
--- a/src/mangosail/placement/workers.py
+++ b/src/mangosail/placement/workers.py
@@ -1,4 +1,4 @@
-"""The workers that this instance owns, each with its ledger and its target."""
+"""Workers owned by this instance, each with its ledger and its target."""
 
 import collections.abc as cabc
 
@@ -10,7 +10,7 @@
 
 
 class OwnedWorker:
-    """A worker under this instance's ownership."""
+    """A worker owned by this instance."""
 
     def __init__(
         self,
@@ -23,24 +23,24 @@
         self.generation = generation
         self.target = target
         self.ledger = ledger.Ledger(worker.capacity, lease_holds)
-        #: False until the ledger was rebuilt from the worker's own list.
+        #: False until the ledger has been rebuilt from the tasks the worker reports.
         self.ready = False
-        #: True once the worker leaves: what runs goes on, nothing is added.
+        #: True once the worker is leaving: running tasks continue, none are added.
         self.leaving = worker.standing is not inventory.Standing.LIVE
-        #: Monotonic time at which the worker is handed over whatever still runs,
-        #: or None while it is kept.
+        #: Monotonic time at which the worker is handed over even if tasks are still
+        #: running, or None if no handover is planned.
         self.handover_deadline: float | None = None
-        #: True while batch work is kept off to hold the tail of quotes.
+        #: True while batch work is rejected to keep the tail latency of quotes low.
         self.closed_to_batch = False
-        #: Kinds of batch task that may come all the same: they slow no quotes.
+        #: Kinds of batch task accepted even then, because they do not slow down quotes.
         self.harmless_kinds: cabc.Collection[str] = ()
-        #: Id of the one batch task that may start here, or empty for any.
+        #: Id of the only batch task that may start here, or empty for any.
         self.reserved_for = ""
-        #: False while the worker's reports don't come.
+        #: False while polling the worker for reports fails.
         self.reachable = True
-        #: The last usage measurement, which lags.
+        #: The last usage measurement, which lags behind.
         self.usage = dispatch_messages.Usage()
-        #: The run of the worker that its last report came from.
+        #: Boot id of the worker process that sent the last report.
         self.boot = ""
 
     @property
@@ -49,13 +49,13 @@
         return self.worker.name
 
     def accepts(self) -> bool:
-        """Tell whether new work may be started here."""
+        """Return whether new work may be started here."""
         if not self.ready or not self.reachable or self.leaving:
             return False
         return self.handover_deadline is None
 
     def summary(self) -> dict[str, object]:
-        """Return what a log line tells of the worker's room for quotes."""
+        """Return log fields that describe the free capacity for quotes."""
         free = self.ledger.free(durable=False)
         return {
             "worker": self.name,
@@ -68,18 +68,18 @@
         }
 
     def free_cpus(self) -> float:
-        """Return the cores that nothing has reserved."""
+        """Return the number of processors that are not reserved."""
         return self.ledger.free().cpus
 
     def accepts_batch(self, task_id: str, kind: str) -> bool:
-        """Tell whether the batch task `batch` of `kind` may be started here."""
+        """Return whether the batch task `task_id` of `kind` may be started here."""
         if self.reserved_for:
             return self.reserved_for == task_id
         return not self.closed_to_batch or kind in self.harmless_kinds
 
 
 class Workers:
-    """All workers that this instance owns, by name."""
+    """The workers owned by this instance, by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, OwnedWorker] = {}
@@ -92,11 +92,11 @@
         return self.by_name.get(name)
 
     def add(self, owned: OwnedWorker) -> None:
-        """Enter a worker that was taken."""
+        """Add a worker of which this instance took ownership."""
         self.by_name[owned.name] = owned
 
     def remove(self, name: str) -> None:
-        """Forget a worker that is no longer owned."""
+        """Remove a worker that is no longer owned."""
         self.by_name.pop(name, None)
 
     def fitting(
@@ -106,9 +106,9 @@
         batch_task_id: str = "",
         kind: str = "",
     ) -> list[OwnedWorker]:
-        """Return the workers on which `needs` can be started now.
+        """Return the workers with enough free capacity for `needs`.
 
-        `batch` is the id of a batch task of `kind`; empty for other work.
+        `batch_task_id` is the id of a batch task of `kind`; empty for other work.
         """
         return [
             owned
@@ -119,6 +119,6 @@
         ]
 
     def free(self) -> resources.Resources:
-        """Return what is free for quotes on all workers that take new work."""
+        """Return the total capacity free for quotes on workers that accept work."""
         free = [owned.ledger.free(durable=False) for owned in self if owned.accepts()]
         return sum(free, resources.Resources())
--- a/tests/placement/choice.feature
+++ b/tests/placement/choice.feature
@@ -1,7 +1,7 @@
 Feature: Choice of worker
-  How much one task slows another depends on which two share a worker and on its
-  load, and is only seen afterwards. A chooser that goes by load alone sends a
-  quote next to the one noisy task and passes by a worker full of harmless ones.
+  How much one task slows down another depends on the two kinds and on the load of the
+  worker, and is only known afterwards. A chooser based on load alone places a quote
+  next to a single interfering task and avoids a worker full of harmless ones.
 
   Scenario: A noisy neighbour is learned and avoided
     Given workers "a" and "b"
@@ -18,8 +18,8 @@
     Then it goes to "a"
 
   Scenario: The last worker that is quiet for quotes is kept so
-    # A wave of noisy tasks is placed at once; it would leave every worker noisy
-    # until the first of its tasks end.
+    # A wave of interfering tasks that is placed at once would affect every worker until
+    # the first of the tasks end.
     Given workers "a" and "b"
     And 6 "batch.scan" run on "a" and 1 "batch.tidy" on "b"
     And quotes took 60 ms beside the scan and 21 ms beside the tidy tasks
@@ -30,8 +30,8 @@
     Then a "batch.scan" task does not
 
   Scenario: The quietest worker drains although none is quiet
-    # A wave fills all workers with a few noisy tasks each. Nothing was protected
-    # then, the rest of the wave came as well, and every quote was slow.
+    # A wave places a few interfering tasks on each worker. No worker was reserved for
+    # quotes then, so the rest of the wave was placed too and every quote was slow.
     Given workers "a" and "b"
     And 6 "batch.scan" run on "a" and 3 "batch.scan" on "b"
     And quotes took 60 ms beside the scan and 21 ms beside the tidy tasks
@@ -39,7 +39,7 @@
     Then a "batch.scan" task has to wait
 
   Scenario: Slots are kept for bursts of quotes on the quiet worker
-    # Two slots are taken by a burst; the next quote had to go beside the noise.
+    # A burst takes two slots; the next quote was placed next to interfering work.
     Given workers "a" and "b"
     And 6 "batch.scan" run on "a" and 4 "batch.tidy" on "b"
     And quotes took 60 ms beside the scan and 21 ms beside the tidy tasks
@@ -47,8 +47,8 @@
     Then a "batch.tidy" task has to wait
 
   Scenario: A worker that turned slow is left, and tried again later
-    # The worker itself is slow, whatever runs there. Its slowness is forgotten
-    # within seconds, or nothing would ever be sent there again to see it mend.
+    # The worker is slow whatever it runs. Its factor decays within seconds; otherwise no
+    # quote would be placed there again and its recovery would go unnoticed.
     Given workers "a" and "b"
     When quotes take 20 ms on "b" and 200 ms on "a"
     And a quote is placed
@@ -57,13 +57,13 @@
     Then quotes are predicted to take less than 30 ms on "a"
 
   Scenario: Batch leaves room for quotes
-    # Batch comes first and would fill every slot; a quote would find none.
+    # Batch work that is placed first must not fill all slots, or quotes find none.
     Given workers "a" and "b"
     When batch tasks are placed until none fits
     And a quote is placed
     Then it is placed
 
   Scenario: Learned slowdowns come near the true ones
-    # Each observation mixes all neighbours; the shares must be told apart.
+    # Each observation is the sum over all neighbours, which have to be separated.
     When 3000 quotes are seen beside neighbours that add 0.9, 0.3 and 0
     Then the learned slowdowns are within 0.15 of that
--- a/tests/placement/decisions.feature
+++ b/tests/placement/decisions.feature
@@ -1,10 +1,10 @@
 Feature: Sizes, ejection and fair shares
-  Declared sizes are wrong, some workers fail all they start, some jobs can never
-  run, and teams share what there is. Each is decided from what was seen.
+  Declared sizes may be wrong, workers may fail every task, jobs may fail on every
+  worker, and teams share the capacity. Placement decides by observed outcomes.
 
   Scenario: The larger of declared and learned is reserved
-    # A task that uses more than it declared overloads its worker while the
-    # ledger still shows room, and all its neighbours slow down.
+    # A task that uses more than it declared overloads its worker while the ledger still
+    # shows free capacity, and slows down all of its neighbours.
     Given workers "a" and "b"
     When tasks of "batch.scan" that declare 2 cpus are measured at 6 cpus
     And a "batch.scan" task that declares 2 cpus is placed
@@ -17,10 +17,10 @@
     Then the ledger holds between 32 and 32 cpus
     And "placement.size_capped" is counted
     When a "batch.huge" task that declares 64 cpus is placed
-    Then it is refused as "too_large" for good
+    Then it is refused as "too_large" permanently
 
   Scenario: A worker that fails what others do well is ejected, probed, readmitted
-    # It fails at once, so it always looks idle and draws ever more work.
+    # A worker that fails immediately always looks idle and attracts more and more work.
     Given three workers "a", "b" and "c"
     When "fuel.quote" succeeds on "b" and fails 5 times on "a"
     Then "a" is ejected and gets nothing
@@ -30,7 +30,7 @@
     Then "a" is not ejected
 
   Scenario: At most a third of the workers is ejected
-    # Something else than the workers fails, such as the network in between.
+    # The cause may be something other than the workers, such as the network.
     Given three workers "a", "b" and "c"
     When "fuel.quote" succeeds on "c" and fails 5 times on "a"
     And "fuel.quote" succeeds on "c" and fails 5 times on "b"
@@ -46,35 +46,36 @@
     And "a" is not ejected
 
   Scenario: An unused share is lent, and reclaimed as work ends
-    # The borrower's work runs on; it only gets no more until the owner has its own.
+    # Work of the borrower continues, but it may start no more until the team below its
+    # quota has its share.
     Given workers "a" and "b"
     And quotas of 8 cpus for "one" and 8 cpus for "two"
     When "one" starts 8 tasks of 2 cpus
     Then 8 were placed
-    When "two" waits for room
+    When "two" waits for capacity
     And "one" starts 1 tasks of 2 cpus
-    Then it is refused as "quota" with a time to come back
+    Then it is refused as "quota" with a retry-after time
     And the next team of "one" and "two" is "two"
 
   Scenario: A quote that can't make its deadline is told at once
-    # Waiting would only end in a timeout after the caller has hung up.
+    # Running the quote would only end after the caller has timed out.
     Given workers "a" and "b"
     When quotes take 900 ms everywhere
     And a quote with 0.3 seconds left is placed
-    Then it is refused as "deadline" with a time to come back
+    Then it is refused as "deadline" with a retry-after time
     When 2 seconds pass
     And a quote with 0.3 seconds left is placed
     Then it is placed
 
   Scenario: Run times come from the worker and say when to come back
-    # From claim to recorded end takes longer than the task itself ran.
+    # The time from the reservation to the recorded end exceeds the run time.
     Given workers "a" and "b"
     When a "batch.tidy" task is placed that its worker says ran 3 seconds
     And batch tasks are placed until none fits
     And 1 seconds pass
-    Then a "batch.tidy" task is told to come back in 2 seconds
+    Then a "batch.tidy" task is told to retry after 2 seconds
 
   Scenario: Whatever is placed, measured and ended, no worker is overfull
-    # Learned sizes change while work runs, and work ends in any order; the sum on
-    # a worker must stay what it can carry.
+    # Learned sizes change while work runs, and work ends in any order. The sum on each
+    # worker must never exceed its capacity.
     Then random work on three workers never overfills one
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -14,23 +14,25 @@
     context.latencies = context.placing.placer.latencies
 
 
-@given('{count:d} "{kind}" run on "{name}" and {more:d} "{other}" on "{second}"')
-def neighbours(context, count, kind, name, more, other, second):
+@given('{count:d} "{kind}" run on "{name}" and {other_count:d} "{other}" on "{second}"')
+def run_tasks(context, count, kind, name, other_count, other, second):
     for _ in range(count):
         context.placing.put(name, kind)
-    for _ in range(more):
+    for _ in range(other_count):
         context.placing.put(second, other)
 
 
-@given("quotes took {noisy:d} ms beside the scan and {calm:d} ms beside the tidy tasks")
-def observed(context, noisy, calm):
+@given(
+    "quotes took {noisy:d} ms beside the scan and {quiet:d} ms beside the tidy tasks"
+)
+def observed(context, noisy, quiet):
     for _ in range(60):
         for others, ms in (({}, 20), ({"batch.scan": 1}, noisy)):
-            see(context, others, "a", ms)
-        see(context, {"batch.tidy": 4}, "b", calm)
+            observe_quote(context, others, "a", ms)
+        observe_quote(context, {"batch.tidy": 4}, "b", quiet)
 
 
-def see(context, others, worker, ms):
+def observe_quote(context, others, worker, ms):
     now = context.placing.clock.monotonic()
     context.latencies.observe(
         QUOTE, latency.Colocation(worker, others, 0.3), ms / 1000, now
@@ -45,7 +47,7 @@
 @when('a "{kind}" task is placed')
 def place_batch(context, kind):
     place_quote(context)
-    context.placing.placer.ended(context.placed.ok_value.work.task_id, ok=False)
+    context.placing.placer.finish(context.placed.ok_value.work.task_id, ok=False)
     work = context.placing.work(kind, messages.WorkClass.BATCH)
     context.placed = context.placing.placer.place(work)
 
@@ -71,8 +73,8 @@
 @when('quotes take {fast:d} ms on "{good}" and {slow:d} ms on "{bad}"')
 def slow_worker(context, fast, good, slow, bad):
     for _ in range(40):
-        see(context, {}, good, fast)
-        see(context, {}, bad, slow)
+        observe_quote(context, {}, good, fast)
+        observe_quote(context, {}, bad, slow)
 
 
 @when("{seconds:d} seconds pass")
@@ -89,35 +91,38 @@
 
 @when("{count:d} quotes are seen beside neighbours that add {a:g}, {b:g} and {c:g}")
 def mixed(context, count, a, b, c):
-    rng = random.Random(1)
+    random_source = random.Random(1)
     context.latencies = latency.Latencies()
-    context.true = dict(zip("abc", (a, b, c), strict=True))
+    context.true_slowdowns = dict(zip("abc", (a, b, c), strict=True))
     for number in range(count):
-        others = {kind: rng.randrange(4) for kind in context.true}
-        slow = 1 + sum(n * context.true[kind] for kind, n in others.items())
-        seconds = 0.02 * slow * rng.uniform(0.9, 1.1)
+        others = {kind: random_source.randrange(4) for kind in context.true_slowdowns}
+        slowdown = 1 + sum(
+            n * context.true_slowdowns[kind] for kind, n in others.items()
+        )
+        seconds = 0.02 * slowdown * random_source.uniform(0.9, 1.1)
         context.latencies.observe(
             QUOTE, latency.Colocation("w", others, 0.6), seconds, number / 50
         )
 
 
 @then("the learned slowdowns are within {margin:g} of that")
-def near(context, margin):
+def within_margin(context, margin):
     found = {
-        kind: context.latencies.slowdown(QUOTE, kind, 0.6, 60) for kind in context.true
+        kind: context.latencies.pair_slowdown(QUOTE, kind, 0.6, 60)
+        for kind in context.true_slowdowns
     }
-    for kind, true in context.true.items():
+    for kind, true in context.true_slowdowns.items():
         assert abs(found[kind] - true) <= margin, found
 
 
 @then('a "{kind}" task has to wait')
 def waits(context, kind):
     work = context.placing.work(kind, messages.WorkClass.BATCH)
-    obstacle = context.placing.placer.obstacle(work)
-    assert obstacle is not None and obstacle.retry_after > 0, obstacle
+    reason = context.placing.placer.wait_reason(work)
+    assert reason is not None and reason.retry_after > 0, reason
 
 
 @then('a "{kind}" task does not')
 def waits_not(context, kind):
     work = context.placing.work(kind, messages.WorkClass.BATCH)
-    assert context.placing.placer.obstacle(work) is None
+    assert context.placing.placer.wait_reason(work) is None
--- a/tests/placement/steps/decision_steps.py
+++ b/tests/placement/steps/decision_steps.py
@@ -45,13 +45,13 @@
     assert context.placing.counters.counts[name] > 0, context.placing.counters.counts
 
 
-@then('it is refused as "{reason}" for good')
+@then('it is refused as "{reason}" permanently')
 def refused_for_good(context, reason):
     assert context.placed.err_value.reason == reason, context.placed
     assert context.placed.err_value.retry_after is None
 
 
-@then('it is refused as "{reason}" with a time to come back')
+@then('it is refused as "{reason}" with a retry-after time')
 def refused_for_now(context, reason):
     assert context.placed.err_value.reason == reason, context.placed
     assert 0 < context.placed.err_value.retry_after < 30
@@ -80,21 +80,21 @@
 
 @then('job "{job}" is poisoned as "{reason}"')
 def poisoned(context, job, reason):
-    assert context.placing.placer.ejection.poisoned(job) == reason
+    assert context.placing.placer.ejection.poison_reason(job) == reason
 
 
 @then('"{name}" is ejected and gets nothing')
 def ejected(context, name):
-    assert context.placing.placer.ejection.ejected(name)
-    assert name not in placed_names(context)
+    assert context.placing.placer.ejection.is_ejected(name)
+    assert name not in candidate_names(context)
 
 
 @then('"{name}" is not ejected')
 def not_ejected(context, name):
-    assert not context.placing.placer.ejection.ejected(name)
+    assert not context.placing.placer.ejection.is_ejected(name)
 
 
-def placed_names(context):
+def candidate_names(context):
     work = context.placing.work("fuel.quote")
     return [owned.name for owned in context.placing.placer.candidates(work)]
 
@@ -102,9 +102,9 @@
 @then('"{name}" gets one task at a time')
 def one_probe(context, name):
     context.probed = name
-    assert name in placed_names(context)
+    assert name in candidate_names(context)
     context.placing.put(name, "fuel.quote")
-    assert name not in placed_names(context)
+    assert name not in candidate_names(context)
 
 
 @when("its probes succeed")
@@ -135,18 +135,18 @@
     assert context.started == count, context.started
 
 
-@when('"{team}" waits for room')
+@when('"{team}" waits for capacity')
 def waits(context, team):
-    context.placing.placer.fair.mark_waiting(team)
+    context.placing.placer.fair_share.mark_waiting(team)
 
 
 @then('the next team of "{a}" and "{b}" is "{team}"')
 def next_team(context, a, b, team):
-    assert context.placing.placer.fair.next({a: 5, b: 1}) == team
+    assert context.placing.placer.fair_share.next_team({a: 5, b: 1}) == team
 
 
 @when("quotes take {ms:d} ms everywhere")
-def slow_everywhere(context, ms):
+def observe_everywhere(context, ms):
     for _ in range(40):
         for owned in context.placing.workers:
             now = context.placing.clock.monotonic()
@@ -154,7 +154,7 @@
                 "fuel.quote", latency.Colocation(owned.name, {}, 0.1), ms / 1000, now
             )
     place_late(context, 10)
-    context.placing.placer.ended(context.placed.ok_value.work.task_id, ok=False)
+    context.placing.placer.finish(context.placed.ok_value.work.task_id, ok=False)
 
 
 @when("a quote with {seconds:g} seconds left is placed")
@@ -164,17 +164,17 @@
 
 
 @when('a "{kind}" task is placed that its worker says ran {seconds:g} seconds')
-def told(context, kind, seconds):
+def place_with_run_time(context, kind, seconds):
     placed = place(context, kind).ok_value
     context.placing.clock.sleep(seconds + 1)
     task_id, done = placed.work.task_id, dispatch_messages.TaskState.DONE
     report = dispatch_messages.Report(task_id, 1, done, kind, seconds=seconds)
     snapshot = dispatch_messages.Snapshot(1, (report,))
     context.placing.placer.on_snapshot(placed.owned.name, snapshot)
-    context.placing.placer.ended(task_id, ok=True)
+    context.placing.placer.finish(task_id, ok=True)
 
 
-@then('a "{kind}" task is told to come back in {seconds:g} seconds')
-def come_back(context, kind, seconds):
+@then('a "{kind}" task is told to retry after {seconds:g} seconds')
+def retry_after(context, kind, seconds):
     refused = place(context, kind).err_value
     assert abs(refused.retry_after - seconds) < 0.01, refused
--- a/tests/placement/steps/process_steps.py
+++ b/tests/placement/steps/process_steps.py
@@ -84,7 +84,7 @@
     context.answers = [ask(context, long, Request_Timeout=left)]
 
 
-@then('the last is answered {code:d} "{title}" at once, with a time to come back')
+@then('the last is answered {code:d} "{title}" at once, with a retry-after time')
 def refused_at_once(context, code, title):
     answer = context.answers[-1]
     assert answer.status == code, answer
@@ -107,7 +107,7 @@
 
 @when(
     "a job of {count:d} tasks that need {cpus:d} cpus is refused "
-    '{code:d} "{title}" for good'
+    '{code:d} "{title}" permanently'
 )
 def submit_refused(context, count, cpus, code, title):
     answer = submit(context, count, cpus)
--- a/tests/placement/steps/random_steps.py
+++ b/tests/placement/steps/random_steps.py
@@ -24,7 +24,7 @@
 
 
 class Trial:
-    """One random run; what runs is kept apart from the ledger."""
+    """One random run; running tasks are tracked independently of the ledger."""
 
     def __init__(self):
         self.placing = placing.Placing("a", "b", "c")
