--- a/src/mangosail/intake/__init__.py
+++ b/src/mangosail/intake/__init__.py
@@ -1,1 +1,1 @@
-"""Taking jobs in from callers, at any instance, and answering for them."""
+"""Intake: accepts jobs from callers at any instance and answers queries about them."""
--- a/src/mangosail/intake/catalogs.py
+++ b/src/mangosail/intake/catalogs.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as this instance knows it."""
+"""Local copy of the operator's configuration."""
 
 import collections.abc as cabc
 
@@ -10,24 +10,25 @@
 
 log = logbook.Logger("catalog")
 
-#: Seconds for which a request that follows the configuration waits. Its answers say
-#: that the store is in reach.
+#: Seconds for which a long poll for configuration changes waits. Its answers also show
+#: that the store is reachable.
 FOLLOW_WAIT_S = 0.5
-#: Seconds without a word from the store after which it counts as out of reach: a
-#: following request waits 0.5 s; the rest is for a store or an instance that is slow.
+#: Seconds without data from the store after which it counts as unreachable: a long poll
+#: takes 0.5 s, the rest is a margin for a slow store or instance.
 STALE_AFTER_S = 1.5
-#: Seconds that a caller is kept at most until it is known whether a queue was added: of
-#: the 3 s that it has, what leaves time for the rest.
+#: Seconds that a caller waits at most for a check whether a queue was just added.
+#: Callers time out after 3 s, and the rest of the request needs some of that time.
 REFRESH_TIMEOUT_S = 2.5
 #: Seconds within which a change of the configuration must be in force, unless the
-#: platform says otherwise.
+#: platform specifies another limit.
 MAX_AGE_S = 2.0
 
 
 class Catalogs:
-    """Holds the newest catalog that was read; it never goes back.
+    """Holds the newest catalog that was read; versions never decrease.
 
-    `decode` turns the text of the row `key` into a catalog, or None.
+    `decode` turns the text of the row `key` into a catalog, or returns None if the
+    text is invalid.
     """
 
     def __init__(
@@ -46,13 +47,13 @@
         self.counters = counters
         self.catalog: messages.Catalog | None = None
         self.by_host: dict[str, list[messages.Queue]] = {}
-        #: Begins the keys of rows that close a data centre, each until it is dropped.
+        #: Key prefix of rows that each close a data centre for as long as they exist.
         self.closed_prefix = closed_prefix
         self.closed: frozenset[str] = frozenset()
-        #: Seconds for which it may be gone by after it was surely the newest: a change
-        #: must be in force by then.
+        #: Seconds for which a catalog may be used after it was last confirmed as the
+        #: newest, because a change must be in force by then.
         self.max_age = max_age
-        #: Elapsed time at which a peer last answered in the place of this instance.
+        #: Elapsed time at which a peer last answered on behalf of this instance.
         self.invalidated_at: float | None = None
         prefix = key[: key.rindex("/") + 1]
         self.follower = row_watcher.RowWatcher(
@@ -67,42 +68,43 @@
 
     @property
     def version(self) -> int:
-        """Return the newest version that was read; 0 before the first."""
+        """Return the newest version that was read, or 0 before the first one."""
         return self.catalog.version if self.catalog else 0
 
     def invalidate(self) -> None:
-        """Go by the present catalog no longer until it was read anew.
+        """Mark the current catalog as invalid until it has been read again.
 
-        A caller was just answered by a peer, which may have a newer one. To answer
-        the next by an older one would take back what is in force.
+        A peer that just answered a caller may have a newer catalog. Answering the
+        next caller by an older one would revert a change that is already in force.
         """
         self.invalidated_at = self.clock.elapsed()
 
     @property
     def invalidated(self) -> bool:
-        """Tell whether a peer may have a newer catalog than this instance."""
+        """Return whether a peer may have a newer catalog than this instance."""
         if self.invalidated_at is None:
             return False
         fresh_at = self.follower.fresh_at
         return fresh_at is None or fresh_at <= self.invalidated_at
 
     def current(self) -> messages.Catalog | None:
-        """Return the newest catalog, or None before the first was read."""
+        """Return the newest catalog, or None before the first one was read."""
         return self.catalog
 
     def find(self, host: str, path: str) -> messages.Queue | None:
-        """Return the queue with the longest prefix of `path`, or None."""
+        """Return the queue with the longest prefix that matches `path`, or None."""
         for queue in self.by_host.get(host, ()):
             if path.startswith(queue.prefix):
                 return queue
         return None
 
     def stale(self) -> bool:
-        """Tell whether the store has been silent for longer than it may be.
+        """Return whether the store has been silent for too long.
 
-        What it sends counts from its first piece on. A large configuration takes
-        seconds to arrive on a narrow link; callers were refused meanwhile for want of a
-        whole answer. It is not waited for beyond the time in which it must be in force.
+        Any part of a response counts as a sign of life: a large configuration takes
+        seconds to arrive on a slow link, and waiting for the complete response meant
+        that callers were refused meanwhile. An incomplete response is not waited for
+        longer than `max_age`, within which a change must be in force.
         """
         fresh_at, heard_at = self.follower.fresh_at, self.follower.last_data_at
         if fresh_at is None:
@@ -112,17 +114,17 @@
         return now - silent_since > STALE_AFTER_S or now - fresh_at > self.max_age
 
     def age(self) -> float | None:
-        """Return the seconds since this was surely the newest; None before that."""
+        """Return the seconds since the last confirmation as newest; None before it."""
         fresh_at = self.follower.fresh_at
         if fresh_at is None:
             return None
         return round(self.clock.elapsed() - fresh_at, 3)
 
     def superseded(self) -> bool:
-        """Tell whether a newer one has been arriving for longer than it may take.
+        """Return whether a newer catalog has been arriving for longer than `max_age`.
 
-        By the present one callers would be served from queues that were dropped. An
-        instance that hears nothing from the store does not know of a newer one.
+        By the current one, callers would be served from queues that were removed. An
+        instance without contact to the store does not know of a newer catalog.
         """
         fresh_at = self.follower.fresh_at
         if fresh_at is None or not self.follower.active_responses:
@@ -130,27 +132,31 @@
         return self.clock.elapsed() - fresh_at > self.max_age
 
     def refresh(self, timeout: float = REFRESH_TIMEOUT_S) -> bool:
-        """Read what has changed now, and tell whether that went well within `term`.
+        """Read changes now and return whether that succeeded within `timeout`.
 
-        A path that no queue has may belong to one that was added just now.
+        A path that matches no queue may belong to a queue that was just added.
         """
         return self.follower.refresh(timeout)
 
     def closed_data_centres(self) -> frozenset[str]:
-        """Return the data centres whose workers may be sent nothing more."""
+        """Return the data centres to whose workers no work may be sent."""
         return self.closed
 
     def _update_closed(self, changes: ports.Changes, whole: bool) -> None:
-        """Take in which data centres are closed, and which are open again."""
+        """Update the set of closed data centres from changed rows."""
         if self.closed_prefix is None:
             return
-        begins = self.closed_prefix
-        before = frozenset() if whole else self.closed
-        opened = {key.removeprefix(begins) for key in changes.removed}
-        rows = (row.key for row in changes.rows if row.key.startswith(begins))
-        closed = (before - opened) | {key.removeprefix(begins) for key in rows}
+        prefix = self.closed_prefix
+        closed_before = frozenset() if whole else self.closed
+        opened = {key.removeprefix(prefix) for key in changes.removed}
+        rows = (row.key for row in changes.rows if row.key.startswith(prefix))
+        closed = (closed_before - opened) | {key.removeprefix(prefix) for key in rows}
         if closed != self.closed:
-            log.info("closed data centres", now=sorted(closed), was=sorted(self.closed))
+            log.info(
+                "closed data centres changed",
+                now=sorted(closed),
+                was=sorted(self.closed),
+            )
         self.closed = closed
 
     def _apply_changes(self, changes: ports.Changes, whole: bool) -> None:
@@ -161,7 +167,7 @@
             catalog = self.decode(row.value)
             if catalog is None:
                 self.counters.count("catalog.unreadable")
-                log.error("catalog unreadable", version=row.version)
+                log.error("catalog could not be decoded", version=row.version)
                 continue
             self._install(catalog)
 
--- a/src/mangosail/intake/errors.py
+++ b/src/mangosail/intake/errors.py
@@ -1,14 +1,14 @@
-"""Why a caller's request about a job was not done."""
+"""Reasons for which a request about a job was not carried out."""
 
 import dataclasses
 
-#: Reasons of refusals that another instance may not have.
+#: Refusal reasons that are local to an instance and may not apply to its peers.
 LOCAL_REASONS = frozenset({"store_away", "catalog_stale", "no_catalog"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The job was not stored and never runs; `retry_after` is in seconds."""
+    """The job was not stored and will never run; `retry_after` is in seconds."""
 
     reason: str
     retry_after: float
@@ -16,18 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Undecided:
-    """Whether the request took effect is not known; it may be sent again."""
+    """It is unknown whether the request took effect; it may be repeated."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownJob:
-    """No such job is kept."""
+    """There is no job with this id."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """The request can't be read; `fault` says what is wrong, and where."""
+    """The request is malformed; `fault` describes the error and its location."""
 
     fault: str
--- a/src/mangosail/intake/job_service.py
+++ b/src/mangosail/intake/job_service.py
@@ -1,7 +1,7 @@
-"""What callers ask of jobs: to hand one in, to look at it, to cancel it.
+"""Submission, lookup and cancellation of jobs.
 
-Each answer rests on the store, so any instance can give it. A job is stored before
-its caller hears that it was accepted; the leader finds it in the store.
+All answers are based on the store, so any instance can give them. A job is stored
+before its submission is acknowledged; the leader reads it from the store.
 """
 
 import collections.abc as cabc
@@ -28,40 +28,40 @@
 
 log = logbook.Logger("intake")
 
-#: Seconds after which a write without an answer is not tried again. Its caller does
-#: better to ask at another instance than to be kept while this one finds out.
+#: Seconds after which a write without an answer is not retried. The caller is better
+#: served by another instance than by waiting for this one.
 COMMIT_TIMEOUT_S = 1.0
-#: Seconds before a write that was refused is tried again.
+#: Seconds until a failed write is retried.
 RETRY_INTERVAL_S = 0.08
-#: Seconds after which a caller that was refused should come back.
+#: Seconds after which a refused caller should retry.
 RETRY_AFTER_S = 0.3
-#: Seconds after which a continuous job that was refused may find room.
+#: Seconds after which a refused continuous job may find capacity.
 CONTINUOUS_RETRY_AFTER_S = 2.0
-#: Seconds for which counts of waiting jobs are used again.
+#: Seconds for which counts of pending jobs are cached.
 PENDING_TTL_S = 0.5
-#: States that are remembered for callers who ask while the store is away.
+#: Limit of cached job states, which answer callers while the store is unreachable.
 MAX_CACHED_STATES = 20000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingCounts:
-    """Jobs that wait, by queue, and until when the counts may be used."""
+    """Pending jobs by queue, and the time until which the counts may be used."""
 
     by_queue: dict[str, int]
     expires_at: float
 
 
-#: What handing in or cancelling may fail with.
+#: Errors of submissions and cancellations.
 ChangeError = errors.Refused | errors.Undecided | errors.UnknownJob
 
-#: What has become of a write, as far as can be known.
+#: Outcome of a write, as far as it can be determined.
 WriteResult = result.Result[
     int, store_errors.Conflict | errors.Refused | errors.Undecided
 ]
 
 
 class JobService:
-    """Hands jobs in, looks them up and cancels them, all in the store."""
+    """Submits, looks up and cancels jobs in the store."""
 
     def __init__(
         self,
@@ -71,22 +71,22 @@
         counters: telemetry.Counters,
     ) -> None:
         self.rows = rows
-        #: Tells whether the store has been out of reach for a while.
+        #: Returns whether the store has been unreachable for a while.
         self.store_unreachable = store_unreachable
         self.clock = clock
         self.counters = counters
         self.pending_counts = PendingCounts({}, 0.0)
-        #: What was last read of each job's state.
+        #: Last state read of each job.
         self.cached_states: dict[str, messages.State] = {}
 
     def submit(self, job: messages.Job) -> result.Result[None, ChangeError]:
-        """Store a job; one that is stored already is accepted again."""
+        """Store a job; resubmitting a stored job succeeds."""
         began_at = self.clock.elapsed()
         deadline = began_at + COMMIT_TIMEOUT_S
         cores = admission.continuous_cores(job)
         if self.store_unreachable():
-            # Nothing is sent, so the refusal is true; trying would keep the caller
-            # for seconds and end without a certain answer.
+            # Nothing has been sent, so the refusal is certain. Trying to write would
+            # delay the caller for seconds and leave the outcome unknown.
             done: WriteResult = result.Err(errors.Refused("store_away", RETRY_AFTER_S))
         elif cores:
             done = self._submit_continuous(job, cores, deadline)
@@ -105,7 +105,7 @@
     def _submit_continuous(
         self, job: messages.Job, cores: float, deadline: float
     ) -> WriteResult:
-        """Store a continuous job, within the bound on all that do."""
+        """Store a continuous job if the bound on continuous jobs permits it."""
         attempted = False
         while True:
             found = self.rows.read_all(keys.LEADERSHIP)
@@ -114,32 +114,36 @@
                     return result.Err(errors.Undecided("store_away"))
                 return result.Err(errors.Refused("store_away", RETRY_AFTER_S))
             rows = {row.key: row for row in found.ok_value.rows}
-            place = continuous_capacity(rows)
-            if place.bound is not None and place.taken + cores > place.bound:
-                return self._refuse_continuous(job, place)
-            check = table.Check(keys.CONTINUOUS, place.version)
-            taken = codec.to_json(admission.ContinuousReservation(place.taken + cores))
-            plain = store_transaction(job)
+            capacity = continuous_capacity(rows)
+            if capacity.bound is not None and capacity.taken + cores > capacity.bound:
+                return self._refuse_continuous(job, capacity)
+            check = table.Check(keys.CONTINUOUS, capacity.version)
+            used = codec.to_json(
+                admission.ContinuousReservation(capacity.taken + cores)
+            )
+            base = store_transaction(job)
             transaction = table.Transaction(
-                (*plain.checks, check),
-                (*plain.writes, table.Write(keys.CONTINUOUS, taken)),
+                (*base.checks, check),
+                (*base.writes, table.Write(keys.CONTINUOUS, used)),
             )
             done = self._commit(transaction, deadline)
             attempted = True
-            overtaken = store_errors.Conflict(keys.CONTINUOUS)
-            if isinstance(done, result.Ok) or done.err_value != overtaken:
+            contended = store_errors.Conflict(keys.CONTINUOUS)
+            if isinstance(done, result.Ok) or done.err_value != contended:
                 return done
             if self.clock.elapsed() >= deadline:
-                # Taken for any other conflict it said that the job was stored: where
-                # hundreds are handed in at once, callers were told of jobs that nobody
-                # knew. It is not stored, as no attempt holds the row's present version.
+                # This conflict must not be treated like one on the row of the job,
+                # which means that the job is stored: when hundreds of jobs were
+                # submitted at once, callers got acceptances of jobs that did not exist.
+                # The job is not stored, since no attempt checked the row's current
+                # version.
                 return result.Err(errors.Refused("room_contended", RETRY_AFTER_S))
             self.counters.count("intake.retry.continuous_conflict")
 
     def _refuse_continuous(
         self, job: messages.Job, capacity: "ContinuousCapacity"
     ) -> WriteResult:
-        """Refuse a continuous job, unless an attempt before this one stored it."""
+        """Refuse a continuous job unless an earlier attempt has stored it."""
         key = keys.continuous_job(job.job_id)
         found = self.rows.read([key])
         if isinstance(found, result.Err):
@@ -147,7 +151,7 @@
         if key in found.ok_value:
             return result.Err(store_errors.Conflict(key))
         log.info(
-            "no room for continuous",
+            "no capacity for continuous job",
             job=job.job_id,
             taken=capacity.taken,
             most=capacity.bound,
@@ -159,7 +163,7 @@
     def state(
         self, job_id: str
     ) -> result.Result[messages.State, errors.UnknownJob | errors.Refused]:
-        """Return what a job is shown as."""
+        """Return the state of a job."""
         known = self.cached_states.get(job_id)
         if known in messages.FINAL and known is not None:
             return result.Ok(known)
@@ -180,7 +184,7 @@
     def _read_state(
         self, job_id: str
     ) -> result.Result[messages.State, errors.UnknownJob | errors.Refused]:
-        """Read a job's state; one that the leader has not recorded yet waits."""
+        """Read the state of a job; one not yet recorded by the leader is queued."""
         for key in (
             keys.state(job_id),
             keys.job(job_id),
@@ -198,7 +202,7 @@
         return result.Err(errors.UnknownJob())
 
     def cancel(self, job_id: str) -> result.Result[None, ChangeError]:
-        """Ask for a job to be cancelled; durable once this returns Ok."""
+        """Request the cancellation of a job; durable once this returns Ok."""
         began_at = self.clock.elapsed()
         known = self.state(job_id)
         if isinstance(known, result.Err):
@@ -208,12 +212,12 @@
         key = keys.cancellation(job_id)
         transaction = table.Transaction((), (table.Write(key, "1"),))
         done = self._commit(transaction, began_at + COMMIT_TIMEOUT_S)
-        log.info("cancel asked", job=job_id, done=isinstance(done, result.Ok))
+        log.info("cancellation requested", job=job_id, done=isinstance(done, result.Ok))
         self.counters.count("intake.cancelled")
         return caller_result(done)
 
     def pending(self, queue: str) -> result.Result[int, errors.Refused]:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return the number of accepted jobs of a queue that have not started."""
         now = self.clock.elapsed()
         if now >= self.pending_counts.expires_at:
             found = self.rows.read([keys.LEASE])
@@ -226,17 +230,17 @@
         return result.Ok(self.pending_counts.by_queue.get(queue, 0))
 
     def _stored_version(self, key: str) -> int | None:
-        """Return the version of a row that callers only ever write once."""
+        """Return the version of a write-once row, or None if it does not exist."""
         found = self.rows.read([key])
         row = found.ok_value.get(key) if isinstance(found, result.Ok) else None
         return row.version if row else None
 
     def _commit(self, transaction: table.Transaction, deadline: float) -> WriteResult:
-        """Commit, and find out what became of it if the answer is lost.
+        """Commit a transaction and resolve its outcome if the answer is lost.
 
-        The transaction is sent again on a new connection; its check makes sure
-        that it takes effect once. A refusal is said only if no attempt was left
-        without an answer, since a lost one may yet take effect.
+        The transaction is sent again over a new connection; its check ensures that
+        it takes effect only once. A refusal is returned only if every attempt was
+        answered, since an unanswered one may still take effect.
         """
         lost = ""
         key = transaction.writes[0].key
@@ -264,7 +268,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ContinuousCapacity:
-    """What continuous jobs have taken, and may take, as read from the store."""
+    """Capacity used by continuous jobs, and its bound, as read from the store."""
 
     taken: float
     version: int
@@ -272,7 +276,7 @@
 
 
 def continuous_capacity(rows: cabc.Mapping[str, table.Row]) -> ContinuousCapacity:
-    """Return what the rows of the leadership say of continuous jobs."""
+    """Return the capacity of continuous jobs from the leadership rows."""
     held, leader = rows.get(keys.CONTINUOUS), rows.get(keys.LEASE)
     taken = (
         codec.from_json(held.value, admission.ContinuousReservation).cores
@@ -285,7 +289,7 @@
 
 
 def store_transaction(job: messages.Job) -> table.Transaction:
-    """Return the transaction that stores a job, if no such job is stored."""
+    """Return a transaction that stores a job unless it is stored already."""
     key = keys.job(job.job_id)
     if admission.continuous_cores(job):
         key = keys.continuous_job(job.job_id)
@@ -296,9 +300,9 @@
 
 
 def caller_result(done: WriteResult) -> result.Result[None, ChangeError]:
-    """Return what the caller is told; a row that exists already is as good.
+    """Return the result for the caller; an existing row counts as success.
 
-    The only conflict that a decision names is that of the job's own row.
+    The only conflict that a write result contains is one on the row of the job.
     """
     if isinstance(done, result.Ok):
         return result.Ok(None)
@@ -309,7 +313,7 @@
 
 
 def outcome_of(done: WriteResult) -> str:
-    """Return the name under which a write's outcome is counted."""
+    """Return the outcome of a write as used in counters and logs."""
     if isinstance(done, result.Ok):
         return "accepted"
     if isinstance(done.err_value, store_errors.Conflict):
--- a/src/mangosail/intake/peer_history.py
+++ b/src/mangosail/intake/peer_history.py
@@ -1,7 +1,7 @@
-"""What each peer did lately with requests that were passed on to it.
+"""Recent outcomes of the requests forwarded to each peer.
 
-It decides whom a caller is passed on to: most peers may lack the store too, and one
-that refused a moment ago would refuse again.
+They determine the order in which peers are tried. Most peers may be unable to reach
+the store as well, and one that refused a moment ago would refuse again.
 """
 
 import collections.abc as cabc
@@ -11,32 +11,33 @@
 from mangosail import clock as clocks
 from mangosail.intake import peers
 
-#: Seconds for which what a peer did counts. A peer that has the store back is asked
-#: again after this; until then it costs no caller a try.
+#: Seconds for which an outcome is used. A peer that can reach the store again is tried
+#: after this time; until then, no request is spent on it.
 OUTCOME_TTL_S = 5.0
-#: Seconds between two requests to a peer that answers, below which a further one is
-#: looked for: 5 callers a second here. Several instances may have turned to it.
+#: Interval in seconds between two requests to an answering peer below which another
+#: peer is tried as well (5 requests per second from this instance). Several instances
+#: may be forwarding to the same peer.
 BUSY_INTERVAL_S = 0.2
-#: Seconds after which a peer that was asked has answered or counts as silent: more than
-#: a try may take.
+#: Seconds after which a peer has either answered or counts as silent; longer than an
+#: attempt can take.
 ATTEMPT_TIMEOUT_S = 1.0
 
 
 class Outcome(enum.StrEnum):
-    """What came of a request that was passed on."""
+    """Outcome of a forwarded request."""
 
     ANSWERED = "answered"
-    #: The peer can't reach the store either.
+    #: The peer cannot reach the store either.
     REFUSED = "refused"
     #: The request did not reach the peer.
     NOT_SENT = "notsent"
-    #: The peer may have done it; nobody knows.
+    #: It is unknown whether the peer carried out the request.
     UNANSWERED = "unanswered"
 
 
-#: Places in the order of asking, first to last.
+#: Ranks of peers, in the order in which they are tried.
 ANSWERING, UNKNOWN, PREVIOUSLY_SILENT, REFUSING, SILENT = range(5)
-#: Places of peers by what they did lately.
+#: Rank by most recent outcome.
 RANKS = {
     Outcome.ANSWERED: ANSWERING,
     Outcome.REFUSED: REFUSING,
@@ -47,68 +48,72 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerRecord:
-    """What a peer did last, and until when that counts."""
+    """Last outcome of a peer, and until when it is used."""
 
     outcome: Outcome | None = None
-    #: Elapsed time at which it was last asked.
+    #: Elapsed time at which a request was last sent to it.
     asked_at: float = 0.0
     expires_at: float = 0.0
 
 
 class PeerHistory:
-    """Remembers what peers did, for as long as their rows are known."""
+    """Stores the last outcome of each peer for as long as its row is known."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
         self.records: dict[str, PeerRecord] = {}
 
     def record_attempt(self, peer: peers.Peer) -> None:
-        """Note that a peer is asked now, so that the next caller goes to another."""
-        standing = self.records.get(peer.name, PeerRecord())
+        """Record that a request is sent to a peer, so that the next goes to another."""
+        record = self.records.get(peer.name, PeerRecord())
         now = self.clock.elapsed()
-        self.records[peer.name] = dataclasses.replace(standing, asked_at=now)
+        self.records[peer.name] = dataclasses.replace(record, asked_at=now)
 
     def record_outcome(self, peer: peers.Peer, outcome: Outcome) -> None:
-        """Remember what came of a request."""
-        standing = self.records.get(peer.name, PeerRecord())
+        """Record the outcome of a request."""
+        record = self.records.get(peer.name, PeerRecord())
         deadline = self.clock.elapsed() + OUTCOME_TTL_S
-        self.records[peer.name] = PeerRecord(outcome, standing.asked_at, deadline)
+        self.records[peer.name] = PeerRecord(outcome, record.asked_at, deadline)
 
     def answering(self, known: cabc.Iterable[peers.Peer]) -> list[peers.Peer]:
-        """Return the peers that answered lately, the least lately asked first."""
-        every = [peer for peer in known if self._rank(peer) == ANSWERING]
-        return sorted(every, key=self._asked_at)
+        """Return the peers that answered recently, least recently used first."""
+        answering = [peer for peer in known if self._rank(peer) == ANSWERING]
+        return sorted(answering, key=self._asked_at)
 
     def ranked(
         self, known: cabc.Sequence[peers.Peer], idempotent: bool
     ) -> list[peers.Peer]:
-        """Return the peers in the order in which a caller is passed on to them.
+        """Return the peers in the order in which they are tried.
 
-        `retried` tells whether the next peer may be asked after a silent one.
-        `known` is in random order, which holds among those with nothing to tell apart.
+        `idempotent` tells whether the request may be retried after a silent peer.
+        The random order of `known` is preserved among peers of equal rank.
         """
         names = {peer.name for peer in known}
         self.records = {
-            name: standing for name, standing in self.records.items() if name in names
+            name: record for name, record in self.records.items() if name in names
         }
-        found = sorted(known, key=lambda peer: (self._rank(peer), self._asked_at(peer)))
-        if found and self._is_busy(found[0]):
-            self._try_another_first(found, PREVIOUSLY_SILENT if idempotent else UNKNOWN)
-        return found
-
-    def _try_another_first(self, found: list[peers.Peer], max_rank: int) -> None:
-        """Put one that may answer first; the next one is known to.
-
-        Else the first one to answer would get all callers. Hand-ins look at none that
-        was silent: their callers would be told nothing certain, again and again. Nobody
-        looks at one whose first answer is awaited: if it is silent, all callers of that
-        time would find out.
+        ordered = sorted(
+            known, key=lambda peer: (self._rank(peer), self._asked_at(peer))
+        )
+        if ordered and self._is_busy(ordered[0]):
+            self._try_another_first(
+                ordered, PREVIOUSLY_SILENT if idempotent else UNKNOWN
+            )
+        return ordered
+
+    def _try_another_first(self, ordered: list[peers.Peer], max_rank: int) -> None:
+        """Move a peer that may answer to the front, before one that is known to.
+
+        Otherwise the first peer to answer would receive all requests. Submissions do
+        not try a peer that was silent, since their callers would repeatedly get an
+        undecided outcome. A peer whose first answer is pending is not tried either: if
+        it is silent, all requests of that period would be delayed.
         """
-        latest = self.clock.elapsed() - ATTEMPT_TIMEOUT_S
-        for index, peer in enumerate(found):
-            place, asked_at = self._rank(peer), self._asked_at(peer)
-            if UNKNOWN <= place <= max_rank and asked_at <= latest:
-                found.insert(0, found.pop(index))
+        asked_before = self.clock.elapsed() - ATTEMPT_TIMEOUT_S
+        for index, peer in enumerate(ordered):
+            rank, asked_at = self._rank(peer), self._asked_at(peer)
+            if UNKNOWN <= rank <= max_rank and asked_at <= asked_before:
+                ordered.insert(0, ordered.pop(index))
                 return
 
     def _is_busy(self, peer: peers.Peer) -> bool:
@@ -117,13 +122,13 @@
         return self.clock.elapsed() - self._asked_at(peer) < BUSY_INTERVAL_S
 
     def _rank(self, peer: peers.Peer) -> int:
-        standing = self.records.get(peer.name)
-        if standing is None or standing.outcome is None:
+        record = self.records.get(peer.name)
+        if record is None or record.outcome is None:
             return UNKNOWN
-        if self.clock.elapsed() < standing.expires_at:
-            return RANKS[standing.outcome]
-        return PREVIOUSLY_SILENT if standing.outcome == Outcome.UNANSWERED else UNKNOWN
+        if self.clock.elapsed() < record.expires_at:
+            return RANKS[record.outcome]
+        return PREVIOUSLY_SILENT if record.outcome == Outcome.UNANSWERED else UNKNOWN
 
     def _asked_at(self, peer: peers.Peer) -> float:
-        standing = self.records.get(peer.name)
-        return standing.asked_at if standing else 0.0
+        record = self.records.get(peer.name)
+        return record.asked_at if record else 0.0
--- a/src/mangosail/intake/peers.py
+++ b/src/mangosail/intake/peers.py
@@ -1,7 +1,7 @@
-"""The other instances: where each can be reached, as written in the store.
+"""Discovery of the other instances and their addresses through the store.
 
-An instance writes its own row again and again, and reads those of all, so that it knows
-them when it can't reach the store any more.
+An instance periodically writes its own row and reads the rows of all others, so that
+it still knows its peers when it can no longer reach the store.
 """
 
 import dataclasses
@@ -18,32 +18,32 @@
 
 log = logbook.Logger("peers")
 
-#: Seconds between readings. Instances seldom come and go, and one that is gone costs
-#: a request that is passed on to it no more than its time limit.
+#: Seconds between reads. Instances rarely change, and a peer that is gone costs a
+#: request forwarded to it no more than its timeout.
 READ_INTERVAL_S = 10.0
-#: Readings between two writings of the own row.
+#: Reads per write of the own row.
 READS_PER_WRITE = 6
-#: Seconds after which an instance whose row was not written again counts as gone: two
-#: writings, and what wall clocks may differ by.
+#: Seconds without a write of its row after which an instance counts as gone: two write
+#: intervals plus a margin for differences between wall clocks.
 PEER_EXPIRY_S = 150.0
-#: Seconds after which the row of an instance that is gone is dropped.
+#: Seconds after which the row of an instance that is gone is deleted.
 ROW_RETENTION_S = 3600.0
-#: Seconds before a row that could not be written, or read, is tried again.
+#: Seconds until a failed read or write is retried.
 RETRY_INTERVAL_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """An instance, and the address on which it answers other instances."""
+    """An instance and the address at which its peers can reach it."""
 
     name: str
     address: str
-    #: Wall time of the instance at which it last wrote this.
+    #: Wall time, on the clock of the instance, at which it last wrote its row.
     written_at: float = 0.0
 
 
 class Peers:
-    """Knows the other instances; `own` is this one."""
+    """Keeps track of the other instances; `own` describes this one."""
 
     def __init__(
         self,
@@ -61,22 +61,22 @@
         self.known: tuple[Peer, ...] = ()
 
     def run(self) -> None:
-        """Write the own row and read all of them, again and again."""
-        readings = 0
+        """Write the own row and read those of all instances, periodically."""
+        reads = 0
         while True:
-            written = readings % READS_PER_WRITE != 0 or self.register()
+            written = reads % READS_PER_WRITE != 0 or self.register()
             done = self.read() and written
             if done:
-                readings += 1
+                reads += 1
             self.clock.sleep(READ_INTERVAL_S if done else RETRY_INTERVAL_S)
 
     def register(self) -> bool:
-        """Write the own row, over that of an earlier run of this instance."""
+        """Write the own row, replacing that of an earlier run of this instance."""
         row = dataclasses.replace(self.own, written_at=self.clock.wall())
         return self._write(self.own.name, codec.to_json(row))
 
     def deregister(self) -> None:
-        """Drop the own row; for a planned stop."""
+        """Delete the own row before a planned stop."""
         self._write(self.own.name, None)
 
     def _write(self, name: str, text: str | None) -> bool:
@@ -89,21 +89,21 @@
         if isinstance(found, result.Err):
             self.counters.count("peers.read_failed")
             return False
-        every = [codec.from_json(row.value, Peer) for row in found.ok_value.rows]
+        all_peers = [codec.from_json(row.value, Peer) for row in found.ok_value.rows]
         now = self.clock.wall()
         known = tuple(
             peer
-            for peer in every
+            for peer in all_peers
             if peer.name != self.own.name and peer.written_at > now - PEER_EXPIRY_S
         )
         if len(known) != len(self.known):
-            log.info("peers seen", count=len(known), before=len(self.known))
+            log.info("known peers changed", count=len(known), before=len(self.known))
         self.known = known
-        for peer in every:
+        for peer in all_peers:
             if peer.written_at < now - ROW_RETENTION_S:
                 self._write(peer.name, None)
         return True
 
     def sample(self, count: int) -> list[Peer]:
-        """Return up to `count` of the others, drawn at random."""
+        """Return up to `count` random peers."""
         return self.rand.sample(self.known, min(count, len(self.known)))
--- a/src/mangosail/intake/relaying.py
+++ b/src/mangosail/intake/relaying.py
@@ -1,8 +1,8 @@
-"""Passing callers' requests on to peers while this instance can't reach the store.
+"""Forwarding of requests to peers while this instance cannot reach the store.
 
-The platform's balancer goes on sending callers here for seconds, and open connections
-stay. A peer whose way to the store is not cut answers for this instance; a request is
-passed on once, so it can't go round.
+The load balancer of the platform keeps sending callers here for seconds, and open
+connections stay open. A peer that can reach the store answers on behalf of this
+instance. A request is forwarded only once, so it cannot loop.
 """
 
 import collections.abc as cabc
@@ -18,45 +18,46 @@
 
 log = logbook.Logger("relaying")
 
-#: Peers that are tried for a request.
+#: Peers to which a request is sent at most.
 MAX_ATTEMPTS = 2
-#: Seconds after which a peer counts as silent. It answers within 0.3 s where its store
-#: is well; the caller has about 3 s.
+#: Seconds after which a peer counts as silent. With a healthy store it answers within
+#: 0.3 s; callers time out after about 3 s.
 ANSWER_TIMEOUT_S = 0.7
-#: Seconds for which only peers that answered lately are asked, after a caller was
-#: passed on in vain: this instance is cut off from all, or the store is away for all.
-#: Each caller who is passed on is kept in vain, and costs a peer a reading of a row.
+#: Seconds for which requests go only to peers that answered recently, after forwarding
+#: a request failed. Either this instance is partitioned or the store is down for all
+#: instances, so each further attempt delays a caller and costs a peer a row read.
 PAUSE_S = 1.0
-#: The same for the first callers in a row whom peers refused. Where most peers lack the
-#: store too, two at random refuse most callers, and one that has it is found within a
-#: second by other callers; so many tries more, once, are no storm.
+#: A shorter pause after the first few consecutive requests that peers refused. If most
+#: peers cannot reach the store either, two random peers refuse most requests, and the
+#: requests of other callers find a working peer within a second. This small number of
+#: additional attempts does not overload the peers.
 SHORT_PAUSE_S = 0.1
 MAX_SHORT_PAUSES = 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What a caller asked."""
+    """A request of a caller."""
 
     method: str
     host: str
     path: str
     body: bytes
-    #: Version of the configuration that a peer must have at least to answer it.
+    #: Minimum version of the configuration that a peer needs to answer.
     min_version: int = 0
-    #: Elapsed time at which its caller is gone.
+    #: Elapsed time at which the caller times out.
     deadline: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a peer answered: an HTTP status and a JSON text."""
+    """The answer of a peer: an HTTP status and a JSON text."""
 
     status: int
     text: str
-    #: Version of the configuration by which the peer answered.
+    #: Version of the configuration that the peer used.
     version: int = 0
-    #: What a refusal says, if it could be read.
+    #: The decoded refusal, if it was one and could be decoded.
     refusal: errors.Refused | None = None
 
 
@@ -67,27 +68,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unanswered:
-    """The request may have reached the peer; no answer came."""
+    """The request may have reached the peer, but no answer arrived."""
 
 
-#: Sends a request to the address of a peer, and waits for its answer.
+#: Sends a request to the address of a peer and waits for its answer.
 Send = cabc.Callable[[str, Request], result.Result[Answer, NotSent | Unanswered]]
 
-#: Status of refusals.
+#: HTTP status of refusals.
 REFUSED_STATUS = 503
-#: Statuses of answers that say that the peer does not know what came of the request.
+#: HTTP statuses with which a peer reports that the outcome is unknown.
 UNDECIDED_STATUSES = frozenset({502, 504})
-#: Methods that change nothing: silence leaves nothing open.
+#: Methods without side effects: after a timeout, the outcome is not in doubt.
 SAFE_METHODS = frozenset({"GET"})
-#: Methods of requests that the next peer may be given after a silent one. To cancel
-#: writes the same row, whoever does it and how often, so an answer of the next peer is
-#: true whatever the silent one does. What is handed in is not: the next peer may refuse
-#: it for good, as there is no room, and the silent one store it.
+#: Methods that may be retried at the next peer after a silent one. A cancellation
+#: always writes the same row, so the answer of the next peer is correct whatever the
+#: silent one does. A submission is not idempotent in this sense: the next peer may
+#: refuse it permanently for lack of capacity although the silent one stores it.
 IDEMPOTENT_METHODS = SAFE_METHODS | {"DELETE"}
 
 
 class Relay:
-    """Passes requests on."""
+    """Forwards requests to peers."""
 
     def __init__(
         self,
@@ -101,35 +102,35 @@
         self.clock = clock
         self.counters = counters
         self.history = peer_history.PeerHistory(clock)
-        #: Elapsed time until which only peers that answered lately are asked.
+        #: Elapsed time until which requests go only to peers that answered recently.
         self.paused_until = 0.0
-        #: Callers in a row who made a pause begin.
+        #: Consecutive failed requests, each of which started a pause.
         self.consecutive_failures = 0
-        #: Newest version of the configuration by which a caller was answered here.
+        #: Newest version of the configuration used in an answer to a caller here.
         self.newest_seen_version = 0
 
     def forward(self, request: Request) -> Answer | errors.Undecided | None:
-        """Return a peer's answer, or None if no peer did what was asked.
+        """Return the answer of a peer, or None if no peer served the request.
 
-        A change without an answer is undecided: the peer may have made it. A peer
-        with an older configuration than callers saw here refuses, so that what is
-        in force never goes back for them.
+        A change without an answer is undecided, since the peer may have applied it.
+        A peer with an older configuration than callers have seen here refuses, so
+        that the configuration never reverts for them.
         """
-        least = max(self.newest_seen_version, request.min_version)
-        request = dataclasses.replace(request, min_version=least)
-        chosen = self._select_peers(request)
-        if not chosen:
+        min_version = max(self.newest_seen_version, request.min_version)
+        request = dataclasses.replace(request, min_version=min_version)
+        selected = self._select_peers(request)
+        if not selected:
             self.counters.count("relaying.paused")
             return None
         silent = False
-        for turn, peer in enumerate(chosen):
-            if turn and self.clock.elapsed() + ANSWER_TIMEOUT_S > request.deadline:
+        for index, peer in enumerate(selected):
+            if index and self.clock.elapsed() + ANSWER_TIMEOUT_S > request.deadline:
                 break
             done = self._send_to(peer, request)
             outcome = outcome_of(done)
             if isinstance(done, result.Ok) and outcome == peer_history.Outcome.ANSWERED:
                 self.consecutive_failures = 0
-                # Another caller may have seen a newer one while this one waited.
+                # Another request may have seen a newer version in the meantime.
                 self.newest_seen_version = max(
                     self.newest_seen_version, done.ok_value.version
                 )
@@ -144,7 +145,7 @@
         return None
 
     def _select_peers(self, request: Request) -> list[peers.Peer]:
-        """Return the peers to ask, in turn."""
+        """Return the peers to try, in order."""
         known = self.peers.sample(len(self.peers.known))
         if self.clock.elapsed() < self.paused_until:
             return self.history.answering(known)[:MAX_ATTEMPTS]
@@ -161,15 +162,15 @@
         self.history.record_outcome(peer, outcome)
         self.counters.count(f"relaying.{outcome}")
         log.info(
-            "passed on", method=request.method, path=request.path, peer=peer.name,
-            outcome=outcome,
+            "request forwarded", method=request.method, path=request.path,
+            peer=peer.name, outcome=outcome,
         )  # fmt: skip
         return done
 
     def _pause(self, silent: bool) -> None:
-        """Ask only peers that answered lately for a while.
+        """Restrict forwarding to peers that answered recently, for a while.
 
-        Callers who were on their way when a pause began add nothing to it.
+        Requests that were in flight when a pause began do not extend it.
         """
         now = self.clock.elapsed()
         if now < self.paused_until:
@@ -182,14 +183,14 @@
 def outcome_of(
     done: result.Result[Answer, NotSent | Unanswered],
 ) -> peer_history.Outcome:
-    """Return what an attempt says of the peer."""
+    """Return the outcome of an attempt for the peer."""
     if isinstance(done, result.Ok):
         answer = done.ok_value
         if answer.status in UNDECIDED_STATUSES:
             return peer_history.Outcome.UNANSWERED
         if answer.status != REFUSED_STATUS:
             return peer_history.Outcome.ANSWERED
-        # For want of room any instance refuses: the peer is well, and has answered.
+        # Any instance would refuse for lack of capacity, so the peer is healthy.
         if (
             answer.refusal is not None
             and answer.refusal.reason not in errors.LOCAL_REASONS
--- a/tests/intake/steps/intake_steps.py
+++ b/tests/intake/steps/intake_steps.py
@@ -14,14 +14,14 @@
 
 ID = "00000000000000aa"
 OTHER = "00000000000000bb"
-#: Begins the keys of rows that close a data centre.
+#: Key prefix of rows that close a data centre.
 CLOSED = "settings//closed/"
 
 
-def new_desk(context):
+def new_service(context):
     return job_service.JobService(
         context.rows,
-        lambda: context.away,
+        lambda: context.store_unreachable,
         context.clock,
         counters.StatsdCounters(None, 0),
     )
@@ -36,8 +36,8 @@
 def step_instance(context):
     context.clock = memory.Clock()
     context.rows = fakes.Rows()
-    context.away = False
-    context.desk = new_desk(context)
+    context.store_unreachable = False
+    context.service = new_service(context)
 
 
 @given("the store refuses")
@@ -45,7 +45,7 @@
     context.rows.fault = "down"
 
 
-@given("the store carries writes out late")
+@given("the store executes writes late")
 def step_late(context):
     context.rows.fault = "late"
 
@@ -67,9 +67,9 @@
     assert time.monotonic() - context.began_at < 1.0
 
 
-@given("the instance has not heard of the store for long")
+@given("the instance has not heard from the store for a long time")
 def step_away(context):
-    context.away = True
+    context.store_unreachable = True
 
 
 @given("continuous jobs may take {cores:d} cores")
@@ -79,22 +79,22 @@
     context.rows.put(keys.CHAIN, "1.0")
 
 
-@given("other instances take room before each of its writes")
+@given("other instances take capacity before each of its writes")
 def step_contended(context):
     commit = context.rows.commit
 
-    def overtaken(transaction):
+    def contended_commit(transaction):
         context.rows.put(keys.CONTINUOUS, admission.ContinuousReservation(1.0))
         return commit(transaction)
 
-    context.rows.commit = overtaken
+    context.rows.commit = contended_commit
 
 
-@when("a continuous job is handed in and time passes")
+@when("a continuous job is submitted and time passes")
 def step_hand_in_slowly(context):
-    # Each look at the clock takes a moment, as a conflict and a new reading do.
+    # Each reading of the clock advances it, like a conflict and another read would.
     context.clock.tick = 0.01
-    context.answers = [context.desk.hand_in(continuous(ID, 8))]
+    context.answers = [context.service.submit(continuous(ID, 8))]
 
 
 @then("the job is not stored")
@@ -102,28 +102,28 @@
     assert keys.continuous_job(ID) not in context.rows.kept
 
 
-@when("a job is handed in")
+@when("a job is submitted")
 def step_hand_in(context):
-    context.answers = [context.desk.hand_in(fakes.job(ID, fakes.step()))]
+    context.answers = [context.service.submit(fakes.job(ID, fakes.step()))]
 
 
-@when("the same job is handed in at another instance")
+@when("the same job is submitted at another instance")
 def step_again(context):
-    context.answers.append(new_desk(context).submit(fakes.job(ID, fakes.step())))
+    context.answers.append(new_service(context).submit(fakes.job(ID, fakes.step())))
 
 
-@when("continuous jobs of {cores:d} cores are handed in at {count:d} instances")
+@when("continuous jobs of {cores:d} cores are submitted at {count:d} instances")
 def step_continuous(context, cores, count):
     context.answers = [
-        new_desk(context).submit(continuous(f"{number:016x}", cores))
+        new_service(context).submit(continuous(f"{number:016x}", cores))
         for number in range(count)
     ]
 
 
-@when("a continuous job and takes {cores:d} cores is handed in twice")
+@when("a continuous job that takes {cores:d} cores is submitted twice")
 def step_continuous_twice(context, cores):
     context.answers = [
-        new_desk(context).submit(continuous(ID, cores)) for _ in range(2)
+        new_service(context).submit(continuous(ID, cores)) for _ in range(2)
     ]
 
 
@@ -142,7 +142,7 @@
 
 @when("the job is cancelled by its caller")
 def step_cancel(context):
-    assert context.desk.cancel(ID).is_ok()
+    assert context.service.cancel(ID).is_ok()
 
 
 @when("the late writes arrive")
@@ -160,7 +160,7 @@
     assert context.answers[0].is_ok(), context.answers
 
 
-@then("the caller is told that it was refused, and when to come back")
+@then("the caller is told that it was refused, and when to retry")
 def step_refused(context):
     error = context.answers[0].err_value
     assert isinstance(error, errors.Refused), error
@@ -180,12 +180,12 @@
 
 @then("its state is queued")
 def step_queued(context):
-    assert context.desk.state(ID) == result.Ok(messages.State.QUEUED)
+    assert context.service.state(ID) == result.Ok(messages.State.QUEUED)
 
 
 @then("another job is not known")
 def step_not_known(context):
-    assert isinstance(context.desk.state(OTHER).err_value, errors.UnknownJob)
+    assert isinstance(context.service.state(OTHER).err_value, errors.UnknownJob)
 
 
 @then("nothing was sent to the store")
@@ -216,7 +216,7 @@
 
 @then("a job that nobody knows can't be cancelled")
 def step_unknown_cancel(context):
-    assert isinstance(context.desk.cancel(OTHER).err_value, errors.UnknownJob)
+    assert isinstance(context.service.cancel(OTHER).err_value, errors.UnknownJob)
 
 
 @given("an instance that follows the configuration")
--- a/tests/intake/steps/relaying_steps.py
+++ b/tests/intake/steps/relaying_steps.py
@@ -23,19 +23,19 @@
 
 
 class Instance:
-    """An instance's ingress with a store of its own, and a way to peers."""
+    """The ingress of an instance with its own store and a relay to peers."""
 
     def __init__(self, clock, fault, relay=None, catalog=None):
         self.rows = fakes.Rows()
         self.rows.fault = fault
-        tally = counters.StatsdCounters(None, 0)
+        stats = counters.StatsdCounters(None, 0)
         self.catalogs = catalogs.Catalogs(
-            self.rows, CONFIG, lambda text: context_catalogs[text], clock, tally
+            self.rows, CONFIG, lambda text: catalogs_by_text[text], clock, stats
         )
         self.catalogs._install(catalog or catalog_of(1, "/q/"))
-        jobs = job_service.JobService(self.rows, lambda: False, clock, tally)
+        jobs = job_service.JobService(self.rows, lambda: False, clock, stats)
         self.relay = relay
-        self.app = ingress.Ingress(self.catalogs, jobs, clock, tally, relay).app
+        self.app = ingress.Ingress(self.catalogs, jobs, clock, stats, relay).app
         self.client = falcon.testing.TestClient(self.app, headers={"Host": HOST})
 
     def ask(self, method, path=PATH, body=None, headers=None):
@@ -49,17 +49,17 @@
     )
 
 
-#: What texts of the configuration's row stand for.
-context_catalogs = {'"newer"': catalog_of(2, "/q/", "/added/")}
+#: Catalogs by the text of the configuration row.
+catalogs_by_text = {'"newer"': catalog_of(2, "/q/", "/added/")}
 
 
-def two(context, peer_fault, send=None, own=None, others=None):
-    """Make an instance that the store refuses, and its peer."""
+def create_pair(context, peer_fault, send=None, own=None, others=None):
+    """Create an instance that the store refuses, and its peer."""
     context.clock = memory.Clock(now=1000.0)
     context.peer = Instance(context.clock, peer_fault, catalog=others)
     context.asked = []
 
-    def pass_on(address, request):
+    def forward(address, request):
         context.asked.append(address)
         if send is not None:
             return send(request)
@@ -70,51 +70,51 @@
         reply = caller.Reply(answer.status_code, answer.content, answer.headers["ETag"])
         return result.Ok(peering.answer_of(reply))
 
-    tally = counters.StatsdCounters(None, 0)
+    stats = counters.StatsdCounters(None, 0)
     first = peers.Peer("a", "a:1")
-    known = peers.Peers(None, first, context.clock, tally, random.Random(5))
+    known = peers.Peers(None, first, context.clock, stats, random.Random(5))
     known.known = (peers.Peer("b", "b:1"),)
-    relay = relaying.Relay(known, pass_on, context.clock, tally)
+    relay = relaying.Relay(known, forward, context.clock, stats)
     context.instance = Instance(context.clock, "down", relay, own)
 
 
 @given("an instance that the store refuses and a peer that it serves")
 def step_served(context):
-    two(context, "")
+    create_pair(context, "")
 
 
 @given("an instance and a peer that the store refuses")
 def step_both_refused(context):
-    two(context, "down")
+    create_pair(context, "down")
 
 
 @given("an instance that the store refuses and a peer that never answers")
 def step_silent(context):
-    two(context, "", lambda request: result.Err(relaying.Unanswered()))
+    create_pair(context, "", lambda request: result.Err(relaying.Unanswered()))
 
 
 @given("an instance that the store refuses and a peer that is not there")
 def step_absent(context):
-    two(context, "", lambda request: result.Err(relaying.NotSent()))
+    create_pair(context, "", lambda request: result.Err(relaying.NotSent()))
 
 
 @given("an instance with an older configuration and a peer with a newer one")
 def step_newer_peer(context):
-    two(
+    create_pair(
         context,
         "",
         None,
         catalog_of(1, "/q/", "/dropped/"),
-        context_catalogs['"newer"'],
+        catalogs_by_text['"newer"'],
     )
 
 
 @given("an instance with a newer configuration and a peer with an older one")
 def step_older_peer(context):
-    two(context, "", None, context_catalogs['"newer"'], catalog_of(1, "/q/"))
+    create_pair(context, "", None, catalogs_by_text['"newer"'], catalog_of(1, "/q/"))
 
 
-@when("a caller hands a job in at the queue that was added")
+@when("a caller submits a job at the queue that was added")
 def step_added(context):
     context.answer = context.instance.ask("POST", "/added/00000000000000aa", BODY)
 
@@ -129,7 +129,7 @@
     context.instance.rows.fault = ""
 
 
-@when("the store tells of the newer configuration")
+@when("the store contains the newer configuration")
 def step_told(context):
     context.instance.rows.put(CONFIG, "newer")
 
@@ -138,7 +138,7 @@
 def step_has_read(context):
     context.clock.now += 1
     context.instance.rows.put(CONFIG, "newer")
-    assert context.instance.catalogs.follower.step(0)
+    assert context.instance.catalogs.follower.read_once(0)
 
 
 @then("the peer was asked twice")
@@ -146,30 +146,30 @@
     assert len(context.asked) == 2, context.asked
 
 
-@when("a caller hands a job in")
+@when("a caller submits a job")
 def step_hand_in(context):
     context.answer = context.instance.ask("POST", PATH, BODY)
 
 
-@given("there is no room for continuous jobs")
+@given("there is no capacity for continuous jobs")
 def step_no_room(context):
     lease = journal.Lease("a", "1", 1, continuous_bound=0.0)
     context.peer.rows.put(keys.LEASE, lease)
 
 
-@when("a caller hands a continuous job in")
+@when("a caller submits a continuous job")
 def step_continuous(context):
     context.answer = context.instance.ask("POST", PATH, CONTINUOUS_BODY)
 
 
-@then('the caller is refused for "{reason}" and comes back after {seconds:d} seconds')
+@then('the caller is refused for "{reason}" and retries after {seconds:d} seconds')
 def step_refused_for(context, reason, seconds):
     step_refused(context)
     assert context.answer.json["title"] == reason, context.answer
     assert context.answer.headers["Retry-After"] == str(seconds), context.answer
 
 
-@when("another caller hands a job in")
+@when("another caller submits a job")
 def step_other(context):
     context.answer = context.instance.ask("POST", OTHER_PATH, BODY)
 
@@ -189,8 +189,8 @@
     assert keys.job("00000000000000aa") in context.peer.rows.kept
 
 
-@then("the caller is refused and told when to come back")
-@then("the other caller is refused and told when to come back")
+@then("the caller is refused and told when to retry")
+@then("the other caller is refused and told when to retry")
 def step_refused(context):
     assert context.answer.status_code == 503, context.answer
     assert context.answer.headers["Retry-After"]
@@ -242,7 +242,7 @@
 
 @when("the second stops as planned")
 def step_leave(context):
-    context.second.leave()
+    context.second.deregister()
 
 
 @then("it knows the second alone")
@@ -257,16 +257,16 @@
 
 @given("an instance without a configuration and a peer with one")
 def step_no_catalog(context):
-    two(context, "")
-    context.instance.catalogs.present = None
+    create_pair(context, "")
+    context.instance.catalogs.catalog = None
 
 
-@when("a caller hands in a job of {count:d} bytes")
+@when("a caller submits a job of {count:d} bytes")
 def step_large(context, count):
     context.answer = context.instance.ask("POST", PATH, "x" * count)
 
 
-#: What peers answer, by how they are.
+#: Answers of peers by their state.
 ANSWERS = {
     "well": result.Ok(relaying.Answer(200, "{}", version=1)),
     "newer": result.Ok(relaying.Answer(200, "{}", version=2)),
@@ -277,56 +277,58 @@
     "faulty": result.Ok(relaying.Answer(502, "")),
 }
 #: Seconds after which a peer counts as silent.
-SILENT_TERM = 0.7
+SILENT_TIMEOUT_S = 0.7
 
 
 @given(
-    "an instance that the store refuses and {count:d} peers, of which {bad:d} {verb:w}"
+    "an instance that the store refuses and {count:d} peers, of which {bad:d} {fault:w}"
 )
 @given(
     "an instance that the store refuses and {count:d} peers, "
-    "of which {bad:d} are {verb:w}"
+    "of which {bad:d} are {fault:w}"
 )
-def step_many(context, count, bad, verb):
+def step_many(context, count, bad, fault):
     names = [f"p{number}" for number in range(count)]
     context.state = {
-        name: verb if number < bad else "well" for number, name in enumerate(names)
+        name: fault if number < bad else "well" for number, name in enumerate(names)
     }
-    context.got = []
+    context.statuses = []
     context.served = collections.Counter()
 
-    def pass_on(address, request):
+    def forward(address, request):
         state = context.state[address]
         context.asked.append(address)
         context.served[address] += state == "well"
         if state == "silent":
-            wait_silent(context)
+            wait_for_silent_peer(context)
         return ANSWERS[state]
 
-    two(context, "")
-    context.meanwhile = 0
+    create_pair(context, "")
+    context.concurrent_callers = 0
     relay = context.instance.relay
-    relay.send = pass_on
+    relay.send = forward
     relay.peers.known = tuple(peers.Peer(name, name) for name in names)
 
 
-def wait_silent(context):
-    """Let the time of a silent peer pass, in which other callers come."""
-    until = context.clock.now + SILENT_TERM
-    count, context.meanwhile = context.meanwhile, 0
+def wait_for_silent_peer(context):
+    """Advance the clock by the timeout of a silent peer, serving other callers."""
+    until = context.clock.now + SILENT_TIMEOUT_S
+    count, context.concurrent_callers = context.concurrent_callers, 0
     if count:
-        step_callers(context, count, "POST", SILENT_TERM)
+        step_callers(context, count, "POST", SILENT_TIMEOUT_S)
     context.clock.now = max(context.clock.now, until)
 
 
 @when("{rate:d} callers a second come while a silent peer is asked")
 def step_meanwhile(context, rate):
-    context.meanwhile = round(rate * SILENT_TERM)
+    context.concurrent_callers = round(rate * SILENT_TIMEOUT_S)
 
 
 @then("the silent peer was asked once")
 def step_asked_once(context):
-    assert context.meanwhile == 0, "nobody came while it was asked"
+    assert context.concurrent_callers == 0, (
+        "no caller arrived while the peer was being asked"
+    )
     assert context.asked.count("p0") == 1, context.asked.count("p0")
 
 
@@ -337,7 +339,7 @@
         context.clock.now += seconds / count
         answer = context.instance.ask(method, f"/q/{number:016x}", body)
         assert ("Retry-After" in answer.headers) == (answer.status_code == 503)
-        context.got.append(answer.status_code)
+        context.statuses.append(answer.status_code)
 
 
 @when(
@@ -347,27 +349,27 @@
 def step_follows(context, seconds, rate):
     follower = context.instance.catalogs.follower
     changes = follower.rows.changes
-    context.passed_on = []
+    context.forwarded = []
 
     def wait_for_changes(prefix, after, wait, heard, most):
         for _ in range(round(wait * rate)):
             before = len(context.asked)
             step_callers(context, 1, "GET", 1 / rate)
-            context.passed_on.append(len(context.asked) > before)
+            context.forwarded.append(len(context.asked) > before)
         return changes(prefix, after, wait, heard, most)
 
-    assert follower.step(0)
+    assert follower.read_once(0)
     follower.rows.changes = wait_for_changes
     began_at = context.clock.now
     while context.clock.now < began_at + seconds:
-        assert follower.step(follower.wait)
+        assert follower.read_once(follower.wait)
     follower.rows.changes = changes
 
 
-@then("none of the last {count:d} callers was passed on")
+@then("none of the last {count:d} requests was forwarded")
 def step_not_passed_on(context, count):
-    assert len(context.passed_on) >= count
-    assert not any(context.passed_on[-count:]), sum(context.passed_on)
+    assert len(context.forwarded) >= count
+    assert not any(context.forwarded[-count:]), sum(context.forwarded)
 
 
 @when("the other peer is {state:w}")
@@ -381,12 +383,12 @@
     for _ in range(count):
         del context.asked[:]
         step_callers(context, 1, method, seconds)
-        context.calls.append((tuple(context.asked), context.got[-1]))
+        context.calls.append((tuple(context.asked), context.statuses[-1]))
 
 
 @then("each caller got the answer {status:d}")
 def step_each(context, status):
-    assert set(context.got) == {status}, context.got
+    assert set(context.statuses) == {status}, context.statuses
 
 
 @then("the silent peer was asked")
@@ -426,13 +428,13 @@
     context.state = dict.fromkeys(context.state, "well")
 
 
-@when("the peers change places")
+@when("the peers swap states")
 def step_swap(context):
     swapped = {"well": "refuse", "refuse": "well"}
     context.state = {name: swapped[state] for name, state in context.state.items()}
 
 
-@when("the rows of all peers but {count:d} go")
+@when("the rows of all peers but {count:d} are deleted")
 def step_rows_go(context, count):
     known = context.instance.relay.peers
     known.known = known.known[-count:]
@@ -440,28 +442,32 @@
 
 @then("no more than {count:d} peers are remembered")
 def step_remembered(context, count):
-    assert len(context.instance.relay.standings.kept) <= count
+    assert len(context.instance.relay.history.records) <= count
 
 
 @then("at least {count:d} callers got the answer {status:d}")
 def step_at_least(context, count, status):
-    assert context.got.count(status) >= count, collections.Counter(context.got)
+    assert context.statuses.count(status) >= count, collections.Counter(
+        context.statuses
+    )
 
 
 @then("at most {count:d} callers got the answer {status:d}")
 def step_at_most(context, count, status):
-    assert context.got.count(status) <= count, collections.Counter(context.got)
+    assert context.statuses.count(status) <= count, collections.Counter(
+        context.statuses
+    )
 
 
 @then("no caller got the answer {status:d}")
 def step_nobody(context, status):
-    assert status not in context.got, collections.Counter(context.got)
+    assert status not in context.statuses, collections.Counter(context.statuses)
 
 
 @then("the last {count:d} callers got the answer {status:d}")
 def step_last(context, count, status):
-    last = context.got[-count:]
-    assert last == [status] * count, (collections.Counter(last), context.got)
+    last = context.statuses[-count:]
+    assert last == [status] * count, (collections.Counter(last), context.statuses)
 
 
 @then("each peer that it serves answered at least {count:d} callers")
@@ -481,22 +487,22 @@
     assert not context.asked, context.asked
 
 
-@when("a caller is answered by the older one after another was by the newer one")
+@when("a caller is answered by an older configuration after another by a newer one")
 def step_overtaken(context):
-    context.least = []
+    context.min_versions = []
 
-    def pass_on(address, request):
-        context.least.append(request.min_version)
-        if len(context.least) > 1:
+    def forward(address, request):
+        context.min_versions.append(request.min_version)
+        if len(context.min_versions) > 1:
             return ANSWERS["newer"]
-        # The other caller comes while this one waits.
+        # The other request arrives while this one is waiting.
         assert context.instance.ask("GET").status_code == 200
         return ANSWERS["well"]
 
-    context.instance.relay.send = pass_on
+    context.instance.relay.send = forward
     assert context.instance.ask("GET").status_code == 200
 
 
-@then("peers were asked for the newer configuration at least")
+@then("requests require at least the newer configuration")
 def step_least(context):
-    assert context.least[-1] == 2, context.least
+    assert context.min_versions[-1] == 2, context.min_versions
