--- a/src/mangosail/control/__init__.py
+++ b/src/mangosail/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control: holds the tail of quotes by throttling and evicting batch tasks."""
+"""Control: bounds the tail latency of quotes by throttling and evicting batch work."""
--- a/src/mangosail/control/loop.py
+++ b/src/mangosail/control/loop.py
@@ -1,8 +1,8 @@
-"""The control loop: one round over the owned workers, four times a second.
+"""Control loop over the owned workers, run four times per second.
 
-On a worker whose quotes are slow it stops adding batch tasks, then throttles
-the kind that is to blame, and evicts a task when throttling has not helped for
-long enough. After each step it waits for quotes that began after the step.
+On a worker with slow quotes, it first stops admitting batch tasks, then throttles
+the kind with the highest impact, and evicts a task if throttling has not helped for
+long enough. After each action it waits for quotes that started after the action.
 """
 
 import collections
@@ -22,23 +22,23 @@
 
 log = logbook.Logger("control")
 
-#: Seconds between rounds.
+#: Seconds between iterations.
 INTERVAL_S = 0.25
-#: Seconds that an order to a worker may take.
+#: Timeout, in seconds, of a throttle request to a worker.
 ORDER_TIMEOUT_S = 1.0
-#: Evictions at once, and seconds that earn one more.
+#: Largest burst of evictions, and seconds until one more is allowed.
 EVICTION_BURST = 2.0
 EVICTION_INTERVAL_S = 10.0
-#: Part of the way to the target that one step closes at most when letting go.
+#: Largest share that one step gives back to a throttled kind.
 MAX_RELAX_STEP = 0.25
-#: Tail aimed at when a share is worked out, as a multiple of the target.
+#: Tail for which shares are computed, as a multiple of the target.
 TAIL_SETPOINT = 0.92
-#: A throttling that moved the tail by less than this did nothing.
+#: Smallest total change of shares that is applied or evaluated.
 MIN_EFFECT = 0.03
 
 
 class ControlLoop:
-    """Keeps the tails of quotes on own workers under their targets."""
+    """Keeps the tail latency of quotes on owned workers below its target."""
 
     def __init__(
         self,
@@ -65,29 +65,29 @@
         self.workers: dict[str, controlled.ControlledWorker] = {}
 
     def step(self) -> None:
-        """Look at each owned worker once, and act where it is needed."""
-        present = {owned.name: owned for owned in self.owned}
-        for name in set(self.workers) - set(present):
+        """Check each owned worker once and act where necessary."""
+        owned_by_name = {owned.name: owned for owned in self.owned}
+        for name in set(self.workers) - set(owned_by_name):
             del self.workers[name]
         harmless = self.tail_impact.harmless_kinds()
-        for name, owned in present.items():
+        for name, owned in owned_by_name.items():
             owned.harmless_kinds = harmless
             if not self.lease.valid():
                 return
             if not owned.accepts():
                 continue
-            known = self.workers.get(name)
-            if known is None or known.owned is not owned:
+            worker = self.workers.get(name)
+            if worker is None or worker.owned is not owned:
                 self.workers[name] = self._start_control(owned)
                 continue
-            self._step(known)
+            self._step(worker)
 
     def _start_control(self, owned: workers.OwnedWorker) -> controlled.ControlledWorker:
-        """Start with a clean slate: nobody knows what an earlier owner throttled."""
-        known = controlled.ControlledWorker(owned, self.clock.monotonic())
+        """Unthrottle all tasks, since the throttles of previous owners are unknown."""
+        worker = controlled.ControlledWorker(owned, self.clock.monotonic())
         for request in work.batch_tasks_on(self.runner, owned.name):
-            self._send_throttle(known, request, 1.0)
-        return known
+            self._send_throttle(worker, request, 1.0)
+        return worker
 
     def _step(self, worker: controlled.ControlledWorker) -> None:
         tasks = work.batch_tasks_on(self.runner, worker.owned.name)
@@ -115,7 +115,7 @@
             worker.relaxable_since = now
 
     def _on_no_quotes(self, worker: controlled.ControlledWorker, now: float) -> None:
-        """Let go of a worker that has had no quotes for a while."""
+        """Reopen and unthrottle a worker that has had no quotes for a while."""
         if now < worker.sampled_at + tails.WINDOW_S:
             return
         worker.owned.closed_to_batch = False
@@ -126,14 +126,14 @@
                 self._send_throttle(worker, request, 1.0)
 
     def _limits(self, samples: list[tails.Sample]) -> policy.Policy:
-        """Return the policy of the team whose quotes suffer most here."""
+        """Return the policy of the team with the slowest quote on the worker."""
         worst = max(samples, key=lambda sample: sample.ratio)
         in_force = self.settings.by_team.get(worst.team)
         weights = in_force.settings.weights if in_force else tuple(schema.Aim)
         return policy.for_aims(weights)
 
     def _learn(self, worker: controlled.ControlledWorker, tail: float) -> None:
-        """Compare the tail before and after the last step, if nothing else changed."""
+        """Learn from the last step if the set of batch tasks has not changed since."""
         step, worker.last_step = worker.last_step, None
         if step is None or step.tasks != self._task_ids(worker):
             return
@@ -142,7 +142,7 @@
     def _unthrottle_harmless(
         self, worker: controlled.ControlledWorker, tasks: list[work_messages.Request]
     ) -> None:
-        """Let go of tasks that turned out not to be to blame, however long the tail."""
+        """Unthrottle tasks of kinds found to be harmless, whatever the tail."""
         harmless = self.tail_impact.harmless_kinds()
         for request in tasks:
             share = worker.share_of(work_messages.task_id_of(request))
@@ -178,24 +178,24 @@
         tail: float,
         limits: policy.Policy,
     ) -> bool:
-        """Throttle the kind that adds most and has most left to give."""
+        """Throttle the kind with the highest impact at its current share."""
         by_kind: dict[str, list[work_messages.Request]] = collections.defaultdict(list)
         for request in tasks:
             if worker.share_of(work_messages.task_id_of(request)) > limits.min_share:
                 by_kind[request.kind].append(request)
-        added = {
+        impacts = {
             kind: sum(self._impact(worker, request) for request in requests)
             for kind, requests in by_kind.items()
         }
         harmless = self.tail_impact.harmless_kinds()
-        blamed = [kind for kind in added if kind not in harmless]
-        if not blamed:
+        candidates = [kind for kind in impacts if kind not in harmless]
+        if not candidates:
             return False
-        kind = max(blamed, key=lambda each: added[each])
-        present = worker.share_of(work_messages.task_id_of(by_kind[kind][0]))
-        share = present - limits.first_step
+        kind = max(candidates, key=lambda each: impacts[each])
+        current = worker.share_of(work_messages.task_id_of(by_kind[kind][0]))
+        share = current - limits.first_step
         if self.tail_impact.is_known(kind):
-            share = present * (1.0 - (tail - TAIL_SETPOINT) / added[kind])
+            share = current * (1.0 - (tail - TAIL_SETPOINT) / impacts[kind])
         share = max(share, limits.min_share)
         self._set_shares(worker, by_kind[kind], share, tail)
         self.counters.count("control.throttled", len(by_kind[kind]))
@@ -215,7 +215,7 @@
         limits: policy.Policy,
         now: float,
     ) -> None:
-        """Give back as much as the tail should bear, the least harmful kind first."""
+        """Give back as much share as the tail permits, to the least harmful kind."""
         if now < worker.relaxable_since + limits.relax_after:
             return
         worker.relaxable_since = now
@@ -228,17 +228,17 @@
                 worker.owned.closed_to_batch = False
                 self.counters.count("control.opened")
             return
-        each = {
+        impacts = {
             kind: sum(
                 self.tail_impact.impact_of(r.kind, r.needs.cpus) for r in requests
             )
             for kind, requests in by_kind.items()
         }
-        kind = min(each, key=lambda name: each[name])
-        present = worker.share_of(work_messages.task_id_of(by_kind[kind][0]))
-        bearable = max(TAIL_SETPOINT - tail, 0.0) / max(each[kind], 1e-9)
-        share = min(present + min(bearable, MAX_RELAX_STEP), 1.0)
-        if share - present < MIN_EFFECT:
+        kind = min(impacts, key=lambda name: impacts[name])
+        current = worker.share_of(work_messages.task_id_of(by_kind[kind][0]))
+        headroom = max(TAIL_SETPOINT - tail, 0.0) / max(impacts[kind], 1e-9)
+        share = min(current + min(headroom, MAX_RELAX_STEP), 1.0)
+        if share - current < MIN_EFFECT:
             return
         self._set_shares(worker, by_kind[kind], share, tail)
         self.counters.count("control.relaxed", len(by_kind[kind]))
@@ -250,16 +250,16 @@
         share: float,
         tail: float,
     ) -> None:
-        taken = 0.0
+        shares_taken = 0.0
         for request in requests:
             before = worker.share_of(work_messages.task_id_of(request))
             if self._send_throttle(worker, request, share):
-                taken += before - share
+                shares_taken += before - share
         worker.acted_at = self.clock.monotonic()
-        if abs(taken) >= MIN_EFFECT:
+        if abs(shares_taken) >= MIN_EFFECT:
             kind = requests[0].kind
             tasks = self._task_ids(worker)
-            worker.last_step = controlled.Step(kind, tail, taken, tasks)
+            worker.last_step = controlled.Step(kind, tail, shares_taken, tasks)
 
     def _send_throttle(
         self,
@@ -279,20 +279,20 @@
     def _evict(
         self, worker: controlled.ControlledWorker, tasks: list[work_messages.Request]
     ) -> None:
-        """Evict the task that adds most even now, if the budget allows it."""
+        """Evict the task with the highest current impact if the budget permits."""
         harmless = self.tail_impact.harmless_kinds()
-        suspects = [request for request in tasks if request.kind not in harmless]
-        if not suspects:
+        candidates = [request for request in tasks if request.kind not in harmless]
+        if not candidates:
             self.counters.count("control.not_evicted.none_to_blame")
             return
-        blamed = max(suspects, key=lambda request: self._impact(worker, request))
+        victim = max(candidates, key=lambda request: self._impact(worker, request))
         if not self.evictions.take():
             self.counters.count("control.not_evicted.budget")
             return
-        evicted = self.runner.evict(work_messages.task_id_of(blamed), "tail")
+        evicted = self.runner.evict(work_messages.task_id_of(victim), "tail")
         worker.acted_at = self.clock.monotonic()
         if isinstance(evicted, result.Err):
             self.counters.count("control.not_evicted.failed")
             return
         self.counters.count("control.evicted.tail")
-        log.info("evicted", worker=worker.owned.name, kind=blamed.kind)
+        log.info("batch task evicted", worker=worker.owned.name, kind=victim.kind)
--- a/src/mangosail/control/memory.py
+++ b/src/mangosail/control/memory.py
@@ -1,4 +1,4 @@
-"""Keeps a worker's measured memory under what it has, declared or not."""
+"""Keeps the measured memory of a worker below its capacity."""
 
 import result
 
@@ -9,15 +9,16 @@
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
 
-#: Part of the memory above which a batch task is evicted. Measurements lag, so
-#: it leaves room for what is taken up until the next one.
+#: Fraction of the memory above which a batch task is evicted. Measurements lag, so a
+#: margin is left for allocations until the next one.
 EVICTION_THRESHOLD = 0.92
 
 
 class MemoryGuard:
-    """Evicts the task that went furthest past what it declared.
+    """Evicts the task that exceeds its declared memory the most.
 
-    It has no budget: a worker out of memory fails all that runs on it.
+    Evictions are not limited by a budget, because all tasks on a worker that runs out
+    of memory fail.
     """
 
     def __init__(
@@ -26,14 +27,14 @@
         self.runner = runner
         self.clock = clock
         self.counters = counters
-        #: Wall time of the last eviction by worker; older measurements still
-        #: show the task that is gone.
+        #: Wall time of the last eviction by worker; older measurements still include
+        #: the evicted task.
         self.evicted_at: dict[str, float] = {}
 
     def evict_if_short(
         self, owned: workers.OwnedWorker, tasks: list[work_messages.Request]
     ) -> bool:
-        """Evict a task if memory is short, and tell whether it is."""
+        """Evict a task if memory is short; return whether it is short."""
         usage = owned.usage
         if usage.memory_gb <= EVICTION_THRESHOLD * owned.worker.capacity.memory_gb:
             return False
@@ -51,7 +52,7 @@
 
 
 def overshoot(usage: dispatch_messages.Usage, request: work_messages.Request) -> float:
-    """Return the gigabytes by which a task exceeds what it declared."""
+    """Return by how many gigabytes a task exceeds its declared memory."""
     measured = usage.tasks.get(work_messages.task_id_of(request))
     if measured is None:
         return 0.0
--- a/src/mangosail/control/policy.py
+++ b/src/mangosail/control/policy.py
@@ -1,4 +1,4 @@
-"""How hard the control loop acts, from what a team weighs most."""
+"""Limits of the control loop, derived from the weights of a team."""
 
 import collections.abc as cabc
 import dataclasses
@@ -10,38 +10,38 @@
 class Policy:
     """Limits of the control loop; tails are multiples of the target.
 
-    Between `act_above` and `relax_below` nothing is done, so that the loop does
-    not swing between throttling and letting go.
+    Between `relax_below` and `act_above` nothing is done. This hysteresis keeps the
+    loop from oscillating between throttling and relaxing.
     """
 
     act_above: float
     relax_below: float
-    #: Least share of its processors that a throttled task keeps.
+    #: Smallest share of its processors that a throttled task keeps.
     min_share: float
-    #: Share that a first step takes from tasks of which nothing is known yet.
+    #: Share taken by the first step from a kind with unknown impact.
     first_step: float
-    #: Seconds for which throttled tasks are borne before one is evicted.
+    #: Seconds over the target after which a task is evicted.
     evict_after: float
-    #: Seconds of calm before a throttled kind is let go a step.
+    #: Seconds below the target before a throttled kind is relaxed by one step.
     relax_after: float
 
 
-#: Evictions cost little: throttle gently, and soon move a task elsewhere.
+#: Evictions are cheap: throttle moderately and evict early.
 THROUGHPUT_BEFORE_EVICTIONS = Policy(1.0, 0.85, 0.2, 0.5, 3.0, 1.0)
-#: Evictions cost much: throttle as hard and as long as it helps.
+#: Evictions are expensive: throttle hard and for a long time before evicting.
 EVICTIONS_BEFORE_THROUGHPUT = Policy(1.0, 0.85, 0.05, 0.6, 12.0, 2.0)
 
 
 def for_aims(aims: cabc.Sequence[schema.Aim]) -> Policy:
-    """Return the policy for aims in the order of their weight::
+    """Return the policy for aims in descending order of weight::
 
-    of([Aim.TAIL, Aim.EVICTIONS, Aim.THROUGHPUT])  # the Fuel Desk
+    for_aims([Aim.TAIL, Aim.EVICTIONS, Aim.THROUGHPUT])  # the Fuel Desk
     """
-    rank = {aim: place for place, aim in enumerate(aims)}
+    rank = {aim: index for index, aim in enumerate(aims)}
     policy = EVICTIONS_BEFORE_THROUGHPUT
     if rank[schema.Aim.THROUGHPUT] < rank[schema.Aim.EVICTIONS]:
         policy = THROUGHPUT_BEFORE_EVICTIONS
     if rank[schema.Aim.TAIL] == 0:
         return policy
-    # Something weighs more than the tail, which may then be a little longer.
+    # Another aim has a higher weight than the tail, so a longer tail is accepted.
     return dataclasses.replace(policy, act_above=1.25, relax_below=1.1)
--- a/src/mangosail/control/tail_impact.py
+++ b/src/mangosail/control/tail_impact.py
@@ -1,40 +1,43 @@
-"""How much each kind of batch task adds to the tail of quotes beside it.
+"""Impact of each kind of batch task on the tail latency of co-located quotes.
 
-Learned from what throttling did: the fall of the tail over the share that was
-taken away. Kinds nobody has throttled yet are guessed from their processors.
+The impact is learned from the effect of throttling: the decrease of the tail divided
+by the share that was taken away. For kinds that have not been throttled yet, it is
+estimated from the processors that they declare.
 """
 
-#: Guessed addition to the tail of one task for each core it declares.
+#: Estimated impact of a task of an unknown kind, per declared core.
 DEFAULT_IMPACT_PER_CPU = 0.02
-#: Addition to the tail below which a kind counts as harmless.
+#: Impact below which a kind counts as harmless.
 HARMLESS_BELOW = 0.03
-#: Weight of the newest observation.
+#: Weight of a new observation in the moving average.
 SMOOTHING_WEIGHT = 0.5
 
 
 class TailImpact:
-    """Addition to the tail, in multiples of the target, of a task at full share."""
+    """Impact of one unthrottled task on the tail, in multiples of the target."""
 
     def __init__(self) -> None:
         self.learned: dict[str, float] = {}
 
     def harmless_kinds(self) -> set[str]:
-        """Return the kinds that throttling has shown to slow no quotes."""
-        return {kind for kind, added in self.learned.items() if added < HARMLESS_BELOW}
+        """Return the kinds found by throttling not to slow down quotes."""
+        return {
+            kind for kind, impact in self.learned.items() if impact < HARMLESS_BELOW
+        }
 
     def is_known(self, kind: str) -> bool:
-        """Tell whether throttling has shown anything of `kind`."""
+        """Return whether the impact of `kind` has been learned from throttling."""
         return kind in self.learned
 
     def impact_of(self, kind: str, cpus: float) -> float:
-        """Return what one task of `kind` adds."""
+        """Return the impact of one task of `kind`."""
         return self.learned.get(kind, DEFAULT_IMPACT_PER_CPU * cpus)
 
     def learn(self, kind: str, before: float, after: float, shares: float) -> None:
-        """Take in that the tail moved when `shares` in all were taken away.
+        """Update the impact of `kind` after `shares` in total were taken away.
 
-        Shares given back are negative. What moved the wrong way was something
-        else's doing and counts as no effect.
+        Shares that were given back are negative. If the tail moved in the opposite
+        direction, something else caused it, and the effect counts as zero.
         """
         effect = max((before - after) / shares, 0.0)
         known = self.learned.get(kind)
--- a/src/mangosail/control/tails.py
+++ b/src/mangosail/control/tails.py
@@ -1,37 +1,37 @@
-"""The latency of quotes on each worker, against what it should be.
+"""Recent quote latencies on each worker, relative to their targets.
 
-Own observations are fresh: a quote's latency is known when it ends, while the
-worker's reports lag by seconds. They are kept as multiples of the target, so
-that operations with different targets can be put together.
+Latencies are measured by this instance, since they are known as soon as a quote
+ends, while the reports of workers lag by seconds. They are stored as multiples of
+the target, so that operations with different targets can be combined.
 """
 
 import collections
 import collections.abc as cabc
 import dataclasses
 
-#: Quotes that are kept for each worker.
+#: Samples stored per worker.
 MAX_SAMPLES = 40
-#: Seconds for which a quote says something.
+#: Seconds for which a sample is used.
 WINDOW_S = 5.0
-#: Quotes without which nothing is concluded.
+#: Samples required to compute the tail.
 MIN_SAMPLES = 10
-#: The quantile that stands for the tail: of few quotes it is the highest that
-#: one slow answer with another cause does not move.
+#: Quantile used as the tail. With few samples, it is the highest one that a single
+#: unrelated slow answer does not change.
 QUANTILE = 0.9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """A quote that started at monotonic time `started_at`."""
+    """A quote that started at the monotonic time `started_at`."""
 
     started_at: float
     team: str
-    #: Its latency over its target.
+    #: Latency divided by the target.
     ratio: float
 
 
 class Tails:
-    """Latest quotes by worker."""
+    """Recent quotes by worker."""
 
     def __init__(self) -> None:
         self.by_worker: dict[str, collections.deque[Sample]] = {}
@@ -44,21 +44,23 @@
         started_at: float,
         seconds: float,
     ) -> None:
-        """Take in a quote that took `seconds`; without a target it says nothing."""
+        """Add a quote that took `seconds`; ignored if it has no target."""
         if target is None:
             return
-        kept = self.by_worker.setdefault(worker, collections.deque(maxlen=MAX_SAMPLES))
-        kept.append(Sample(started_at, team, seconds / target))
+        samples = self.by_worker.setdefault(
+            worker, collections.deque(maxlen=MAX_SAMPLES)
+        )
+        samples.append(Sample(started_at, team, seconds / target))
 
     def since(self, worker: str, started_at: float, now: float) -> list[Sample]:
-        """Return the worker's quotes that started after `started_at`."""
+        """Return the samples of a worker that started after `started_at`."""
         oldest = max(started_at, now - WINDOW_S)
-        kept = self.by_worker.get(worker, ())
-        return [sample for sample in kept if sample.started_at >= oldest]
+        samples = self.by_worker.get(worker, ())
+        return [sample for sample in samples if sample.started_at >= oldest]
 
 
 def tail_of(samples: cabc.Sequence[Sample]) -> float | None:
-    """Return the tail of the ratios, None if there are too few of them::
+    """Return the tail of the ratios, or None if there are too few samples::
 
     >>> tail_of([])
     """
--- a/src/mangosail/control/token_bucket.py
+++ b/src/mangosail/control/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket that bounds how often something costly is done."""
+"""A token bucket that limits the rate of an expensive operation."""
 
 from mangosail import clock as clocks
 
 
 class TokenBucket:
-    """`burst` at once at most, and one more every `interval` seconds."""
+    """Allows bursts of up to `burst`, and one more token every `interval` seconds."""
 
     def __init__(self, clock: clocks.Clock, burst: float, interval: float) -> None:
         self.clock = clock
@@ -14,7 +14,7 @@
         self.refilled_at = clock.monotonic()
 
     def take(self) -> bool:
-        """Take one token if there is one."""
+        """Take one token and return whether one was available."""
         now = self.clock.monotonic()
         earned = (now - self.refilled_at) / self.interval
         self.tokens = min(self.tokens + earned, self.burst)
--- a/src/mangosail/control/worker.py
+++ b/src/mangosail/control/worker.py
@@ -1,4 +1,4 @@
-"""What the control loop knows of one worker."""
+"""State of the control loop for one worker."""
 
 import dataclasses
 
@@ -7,14 +7,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """A change of shares, kept until its effect shows."""
+    """A change of shares whose effect has not been evaluated yet."""
 
     kind: str
-    #: The tail before it.
+    #: The tail before the change.
     tail: float
-    #: Shares taken away in all; negative if they were given back.
+    #: Total of the shares taken away; negative if they were given back.
     shares_taken: float
-    #: Batch tasks on the worker; if they change, the effect proves nothing.
+    #: Batch tasks on the worker; if they change, the effect cannot be attributed.
     tasks: frozenset[str]
 
 
@@ -23,24 +23,24 @@
 
     def __init__(self, owned: workers.OwnedWorker, now: float) -> None:
         self.owned = owned
-        #: Share of its processors that each throttled task has.
+        #: Share of its processors that each throttled task has, by task id.
         self.shares: dict[str, float] = {}
-        #: Time of the last step; quotes that began before it don't count.
+        #: Time of the last action; quotes that started before it are ignored.
         self.acted_at = now
-        #: Time at which there were last enough quotes to tell.
+        #: Time at which there were last enough samples.
         self.sampled_at = now
-        #: Time since which the tail has been too long; None if it is not.
+        #: Time since which the tail has been over the target; None if it is not.
         self.over_target_since: float | None = None
-        #: Time since which there has been room to let go.
+        #: Time since which the tail has been low enough to relax.
         self.relaxable_since = now
         self.last_step: Step | None = None
 
     def share_of(self, task_id: str) -> float:
-        """Return the share that a task has."""
+        """Return the current share of a task."""
         return self.shares.get(task_id, 1.0)
 
     def forget_ended(self, present: set[str]) -> None:
-        """Keep nothing of tasks that no longer run here."""
+        """Remove the shares of tasks that are no longer running."""
         self.shares = {
             task_id: share
             for task_id, share in self.shares.items()
--- a/tests/control/control.feature
+++ b/tests/control/control.feature
@@ -1,11 +1,11 @@
 Feature: The control loop
-  Quotes slow down as the tasks beside them say; the loop sees only the quotes
-  that ended, and the worker's lagging usage.
+  Tasks slow down co-located quotes by a known amount. The loop sees only completed
+  quotes and the lagging usage reports of the worker.
 
   Scenario: The kind that is to blame is throttled, and let go when it is over
-    A noisy task comes to a worker with a quiet one, and quotes take twice as
-    long. The loop knows neither; it throttles, sees which of them it was, and
-    settles. Nothing is evicted, and nothing swings to and fro.
+    An interfering task joins a harmless one on a worker, and quotes take twice as long.
+    The loop knows neither kind. It throttles, finds out which one is the cause, and
+    converges without evictions and without oscillating.
     Given a worker with batch tasks
       | id    | kind  | noise |
       | noisy | scan  | 1.0   |
@@ -13,14 +13,14 @@
     When 40 seconds pass
     Then quotes are within their target
     And "noisy" is throttled and "quiet" is not
-    And nothing was evicted after at most 20 orders
+    And nothing was evicted after at most 20 throttle requests
     When "noisy" ends and 15 seconds pass
     Then the worker takes batch tasks again
 
   Scenario Outline: Evictions are bounded, and never hit what can't start again
-    The worker is slow by itself, so throttling and evicting help too little.
-    Releases on the worker are no batch work. The budget of 2 evictions and one
-    more every 10 seconds keeps the loop from sweeping the batch tasks away.
+    The worker itself is slow, so throttling and evicting do not help enough. Releases
+    are not batch work and must not be touched. The budget of 2 evictions and one more
+    every 10 seconds keeps the loop from evicting all batch tasks.
     Given a worker that is slow by itself, with 20 tasks of noise 0.05 and a release
     And the team weighs <order>
     When 60 seconds pass
@@ -33,17 +33,17 @@
       | tail, throughput, evictions | 3     |
 
   Scenario: Nothing is evicted that slows no quotes
-    The worker is slow by itself; throttling shows that its tasks are not to
-    blame, so they get all their processors back. That is three orders a task,
-    with the one that clears up after an earlier owner.
+    The worker itself is slow. Throttling shows that its tasks are not the cause, so
+    they are unthrottled again. That takes three requests per task, including the one
+    that resets the throttles of a previous owner.
     Given a worker that is slow by itself, with 20 tasks of noise 0.0 and a release
     When 60 seconds pass
-    Then nothing was evicted after at most 60 orders
+    Then nothing was evicted after at most 60 throttle requests
     And no task is throttled any more
 
   Scenario: A task that takes more memory than it declared makes way
-    Measurements are a second old. The task furthest past its declaration is
-    evicted once, and not a second one for the measurement that still shows it.
+    Measurements lag by a second. The task that exceeds its declaration the most is
+    evicted, and no other one because of a measurement that still includes it.
     Given a worker with batch tasks
       | id     | kind  | noise | memory_gb |
       | modest | count | 0.0   | 30        |
@@ -52,10 +52,10 @@
     Then only "greedy" was evicted
 
   Scenario: A worker that is closed is not kept for a task that has waited long
-    Tasks that find no room for 3 seconds are kept a worker. On a closed one that
-    would bring back the very noise it was closed for.
+    A worker is reserved for a task that has found no capacity for 3 seconds. A worker
+    closed to batch work must not be, or the interference would return.
     Given a worker with batch tasks
       | id    | kind | noise |
       | noisy | scan | 1.0   |
     When 5 seconds pass
-    Then a batch task that has waited 10 seconds is kept no worker and finds no room
+    Then a batch task that has waited 10 seconds has no worker reserved and finds no capacity
--- a/tests/control/steps/control_steps.py
+++ b/tests/control/steps/control_steps.py
@@ -17,8 +17,8 @@
 CAPACITY = resources.Resources(32, 125, 2, 8, 64)
 
 
-class Scene:
-    """A worker, its tasks and quotes, as plain sums; time is a number."""
+class Simulation:
+    """Simulated worker, tasks, quotes and clock with additive interference."""
 
     def __init__(self):
         self.now = 100.0
@@ -29,7 +29,7 @@
         self.shares = {}
         self.orders = []
         self.evicted = []
-        self.measured = []
+        self.measurements = []
         self.tails = tails.Tails()
         worker = inventory.Worker("w", "dc", "r", "127.0.0.1:1", CAPACITY)
         self.owned = workers.OwnedWorker(worker, 1, self)
@@ -77,9 +77,11 @@
         used = {t: resources.Resources(4, self.memory[t]) for t in self.tasks}
         total = sum(needs.memory_gb for needs in used.values())
         usage = dispatch_messages.Usage(self.now, 4, total, used)
-        self.measured.append(usage)
-        old = [u for u in self.measured if u.measured_at <= self.now - USAGE_LAG]
-        self.owned.usage = old[-1] if old else self.owned.usage
+        self.measurements.append(usage)
+        visible = [
+            u for u in self.measurements if u.measured_at <= self.now - USAGE_LAG
+        ]
+        self.owned.usage = visible[-1] if visible else self.owned.usage
 
     def pass_seconds(self, seconds):
         for _ in range(int(seconds / loop.INTERVAL_S)):
@@ -92,10 +94,10 @@
 
 @given("a worker with batch tasks")
 def with_tasks(context):
-    context.scene = Scene()
+    context.simulation = Simulation()
     for row in context.table:
         memory = float(row.get("memory_gb", 4.0))
-        context.scene.add(row["id"], row["kind"], float(row["noise"]), memory)
+        context.simulation.add(row["id"], row["kind"], float(row["noise"]), memory)
 
 
 @given(
@@ -103,53 +105,53 @@
     "and a release"
 )
 def slow_worker(context, count, noise):
-    context.scene = Scene()
-    context.scene.base = 2.0
+    context.simulation = Simulation()
+    context.simulation.base = 2.0
     for number in range(count):
-        context.scene.add(f"j.{number}", "scan", noise)
-    context.scene.add("release", "fuel.release", 0.5, job="")
+        context.simulation.add(f"j.{number}", "scan", noise)
+    context.simulation.add("release", "fuel.release", 0.5, job="")
 
 
 @given("the team weighs {order}")
-def weighs(context, order):
+def set_weights(context, order):
     aims = tuple(schema.Aim(aim) for aim in order.split(", "))
     settings = types.SimpleNamespace(weights=aims)
     in_force = types.SimpleNamespace(settings=settings)
-    context.scene.settings.by_team["t"] = in_force
+    context.simulation.settings.by_team["t"] = in_force
 
 
 @when("{seconds:d} seconds pass")
 def wait(context, seconds):
-    context.scene.pass_seconds(seconds)
+    context.simulation.pass_seconds(seconds)
 
 
 @when('"{name}" ends and {seconds:d} seconds pass')
 def end(context, name, seconds):
-    del context.scene.tasks[f"t/{name}"]
-    context.scene.pass_seconds(seconds)
+    del context.simulation.tasks[f"t/{name}"]
+    context.simulation.pass_seconds(seconds)
 
 
 @then("quotes are within their target")
 def within(context):
-    assert context.scene.ratio() <= 1.0, context.scene.ratio()
+    assert context.simulation.ratio() <= 1.0, context.simulation.ratio()
 
 
 @then('"{noisy}" is throttled and "{quiet}" is not')
 def throttled(context, noisy, quiet):
-    shares = context.scene.shares
+    shares = context.simulation.shares
     assert shares[f"t/{noisy}"] < 0.5, shares
     assert shares.get(f"t/{quiet}", 1.0) == 1.0, shares
 
 
-@then("nothing was evicted after at most {most:d} orders")
+@then("nothing was evicted after at most {most:d} throttle requests")
 def few_orders(context, most):
-    assert not context.scene.evicted, context.scene.evicted
-    assert 0 < len(context.scene.orders) <= most, context.scene.orders
+    assert not context.simulation.evicted, context.simulation.evicted
+    assert 0 < len(context.simulation.orders) <= most, context.simulation.orders
 
 
 @then("the worker takes batch tasks again")
 def takes_again(context):
-    assert not context.scene.owned.closed_to_batch
+    assert not context.simulation.owned.closed_to_batch
 
 
 @then(
@@ -157,40 +159,40 @@
     "the first after {seconds:d} seconds"
 )
 def bounded(context, least, most, seconds):
-    evicted = context.scene.evicted
+    evicted = context.simulation.evicted
     assert least <= len(evicted) <= most, evicted
     assert seconds <= evicted[0][0] - 100.0 <= seconds + 5, evicted
 
 
 @then("the release was neither throttled nor evicted")
-def spared(context):
-    touched = {*context.scene.orders, *(t for _, t in context.scene.evicted)}
+def release_untouched(context):
+    touched = {*context.simulation.orders, *(t for _, t in context.simulation.evicted)}
     assert "t/release" not in touched
 
 
 @then('only "{name}" was evicted')
-def only(context, name):
-    assert [task for _, task in context.scene.evicted] == [f"t/{name}"]
+def only_evicted(context, name):
+    assert [task for _, task in context.simulation.evicted] == [f"t/{name}"]
 
 
 @then("no task is throttled any more")
 def none_throttled(context):
-    assert set(context.scene.shares.values()) == {1.0}, context.scene.shares
+    assert set(context.simulation.shares.values()) == {1.0}, context.simulation.shares
 
 
 @then(
-    "a batch task that has waited {seconds:d} seconds is kept no worker "
-    "and finds no room"
+    "a batch task that has waited {seconds:d} seconds has no worker reserved "
+    "and finds no capacity"
 )
-def kept_none(context, seconds):
-    scene = context.scene
-    count = scene.control.counters
+def none_reserved(context, seconds):
+    simulation = context.simulation
+    count = simulation.control.counters
     place = placer.Placer(
-        scene.workers, choice.Policy.LEAST_LOADED, 1, scene, count,
+        simulation.workers, choice.Policy.LEAST_LOADED, 1, simulation, count,
         lambda team: None, lambda: [CAPACITY],
     )  # fmt: skip
-    places = room.Room(scene.workers, place, scene, scene, count)
-    request = scene.tasks["t/noisy"]
-    places.make_room(request, False, scene.now - seconds)
+    places = room.Room(simulation.workers, place, simulation, simulation, count)
+    request = simulation.tasks["t/noisy"]
+    places.make_room(request, False, simulation.now - seconds)
     assert places.reservation is None
     assert not places.fits(request)
