--- a/src/mangosail/scheduler/sizes.py
+++ b/src/mangosail/scheduler/sizes.py
@@ -57,8 +57,8 @@
         return f"steps: {size} bytes to keep, at most {table.MOST_VALUE}"
     space = spare_bytes(job) - MIN_SPARE_BYTES
     if space < 0:
-        return "steps, repeat_count: too many to record which are done"
+        return "steps, repeat_count: too many to keep what is done of them"
     count, limit = concurrent_tasks(job), space // (TASK_BYTES + TYPICAL_NAME_BYTES)
     if count > limit:
-        return f"steps: {count} tasks that have to run together, at most {limit}"
+        return f"steps: {count} tasks that run together, at most {limit}"
     return ""
