--- a/src/mangosail/jobs/__init__.py
+++ b/src/mangosail/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: many tasks declared at once, run as capacity allows."""
+"""Batch jobs: many tasks submitted together and run as capacity allows."""
--- a/src/mangosail/jobs/attempts.py
+++ b/src/mangosail/jobs/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of a task's attempts: ended, or tried again after a while."""
+"""Handling of the results of task attempts: final states, retries and backoff."""
 
 import random
 
@@ -10,14 +10,14 @@
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
 
-#: Seconds until a task is tried again, doubled with each failure.
+#: Delay before the first retry of a task; doubled with each failure.
 INITIAL_BACKOFF_S = 0.25
-#: Longest such time in seconds.
+#: Upper bound of the retry delay.
 MAX_BACKOFF_S = 30.0
 
 
 class AttemptHandler:
-    """Settles attempts, wherever the news of their ends come from."""
+    """Applies the results of attempts, whichever source reports them."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
     def settle(
         self, job: held.HeldJob, index: int, request_id: str, outcome: str
     ) -> None:
-        """Take in what became of a task's attempt; late news change nothing."""
+        """Apply the result of an attempt; results of earlier attempts are ignored."""
         if request_id != job.request(index).request_id:
             return
         if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
@@ -65,7 +65,7 @@
         self.counters.count(f"jobs.task.{status.name.lower()}")
 
     def handle_not_started(self, job: held.HeldJob, index: int, error: object) -> None:
-        """Let a task that was not started wait again, unless it never can be."""
+        """Requeue a task that was not started, or fail a job that can't run."""
         if isinstance(error, placement_errors.NotPlaced) and error.retry_after is None:
             job.stop(messages.State.FAILED, error.reason.value)
             self._finish(job, index, tracker.TaskStatus.FAILED)
@@ -74,7 +74,7 @@
         self.requeue(job, index, 0)
 
     def _handle_failure(self, job: held.HeldJob, index: int, request_id: str) -> None:
-        """Try a task that failed again, unless that is of no use."""
+        """Retry a failed task unless it has no attempts left or the job has stopped."""
         row = self._read_work_row(job.spec.team, request_id)
         if row is not None:
             job.reason = row.reason
@@ -84,8 +84,8 @@
         if job.poisoned(self.room.worker_count()):
             self.counters.count("jobs.poisoned")
             job.stop(messages.State.FAILED, f"fails everywhere: {job.reason}")
-        spent = job.failed_attempts[index] >= tracker.MAX_FAILED_ATTEMPTS
-        if spent or job.state is not messages.State.RUNNING:
+        exhausted = job.failed_attempts[index] >= tracker.MAX_FAILED_ATTEMPTS
+        if exhausted or job.state is not messages.State.RUNNING:
             self._finish(job, index, tracker.TaskStatus.FAILED)
             return
         self.counters.count("jobs.retry.failed")
@@ -93,13 +93,13 @@
         self.requeue(job, index, job.failed_attempts[index])
 
     def requeue(self, job: held.HeldJob, index: int, failures: int) -> None:
-        """Let a task wait again, a while and by chance, so that none march in step."""
+        """Requeue a task after a backoff with jitter, which spreads the retries."""
         job.polls.pop(index, None)
         if job.state is not messages.State.RUNNING:
             self._finish(job, index, tracker.TaskStatus.CANCELLED)
             return
-        wait = backoff(failures) * self.random.uniform(0.5, 1.0)
-        job.tracker.requeue(index, self.clock.monotonic() + wait)
+        delay = backoff(failures) * self.random.uniform(0.5, 1.0)
+        job.tracker.requeue(index, self.clock.monotonic() + delay)
 
     def _read_work_row(
         self, team: str, request_id: str
@@ -111,5 +111,5 @@
 
 
 def backoff(failures: int) -> float:
-    """Return the seconds to wait at most after so many failures."""
+    """Return the upper bound in seconds of the delay after `failures` failures."""
     return min(INITIAL_BACKOFF_S * 2**failures, MAX_BACKOFF_S)
--- a/src/mangosail/jobs/cancellation.py
+++ b/src/mangosail/jobs/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancelling the tasks of a job that run."""
+"""Cancellation of the running tasks of a job."""
 
 import gevent
 import gevent.pool
@@ -8,14 +8,14 @@
 from mangosail.jobs import attempts, held, messages, tracker, work
 from mangosail.telemetry import counters as telemetry
 
-#: Most cancellations in hand at a time.
+#: Cancellations that run concurrently.
 MAX_CONCURRENT_CANCELLATIONS = 16
-#: Longest time in seconds until a cancellation that ended nothing is tried again.
+#: Upper bound of the delay before a cancellation that had no effect is retried.
 MAX_RETRY_INTERVAL_S = 2.0
 
 
 class JobCanceller:
-    """Cancels a few tasks at a time, without holding up others."""
+    """Cancels running tasks with bounded concurrency and retries."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         self.pool = gevent.pool.Pool(MAX_CONCURRENT_CANCELLATIONS)
 
     def cancel(self, job: held.HeldJob) -> None:
-        """Let no waiting task of `job` start, and cancel what runs."""
+        """Cancel the waiting tasks of `job` and start cancelling the running ones."""
         if job.state is not messages.State.RUNNING:
             return
         job.stop(messages.State.CANCELLING, "")
         self.cancel_running(job)
 
     def cancel_running(self, job: held.HeldJob) -> None:
-        """Begin to cancel what runs of `job`."""
+        """Cancel the running tasks of `job` in the background."""
         gevent.spawn(self._cancel_running_tasks, job)
 
     def _cancel_running_tasks(self, job: held.HeldJob) -> None:
@@ -46,13 +46,13 @@
             self.pool.spawn(self._cancel_task, job, index, 0)
 
     def _cancel_task(self, job: held.HeldJob, index: int, retries: int) -> None:
-        """Cancel a task once, and come back to it if that has not ended it.
+        """Cancel a task and schedule a retry if it is still running afterwards.
 
-        An answer need not be an end: the order to stop may be lost on its way to the
-        worker or to the task's holder, or the lease be in doubt for a moment. When any
-        answer was taken for one, the job was shown as cancelling for as long as such a
-        task ran. A task that can't be reached must not keep others waiting, so between
-        the tries it has no place in the pool.
+        An answer doesn't prove that the task has ended: the stop order may be lost on
+        its way to the worker or to the task's holder, or the lease may be in doubt for
+        a moment. Taking any answer for an end left the job in the state "cancelling"
+        for as long as such a task ran. Between retries the task occupies no place in
+        the pool, so an unreachable task doesn't delay the others.
         """
         if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
             return
@@ -64,10 +64,10 @@
             )
         if job.tracker.statuses[index] != tracker.TaskStatus.RUNNING:
             return
-        # Where it runs elsewhere, its row tells of the end.
+        # The end of a task that runs on another instance is read from its row.
         job.schedule_poll(index, self.clock.monotonic())
         self.counters.count("jobs.retry.cancel")
-        pause = min(attempts.backoff(retries), MAX_RETRY_INTERVAL_S)
+        delay = min(attempts.backoff(retries), MAX_RETRY_INTERVAL_S)
         gevent.spawn_later(
-            pause, self.pool.spawn, self._cancel_task, job, index, retries + 1
+            delay, self.pool.spawn, self._cancel_task, job, index, retries + 1
         )
--- a/src/mangosail/jobs/errors.py
+++ b/src/mangosail/jobs/errors.py
@@ -1,4 +1,4 @@
-"""Why a job was not taken on, or not found."""
+"""Reasons for which a job is refused or not found."""
 
 import dataclasses
 import typing as t
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Misfit:
-    """A field of the declaration, its value, and what was expected there."""
+    """A field of the submitted job, its value, and what was expected there."""
 
     field: str
     value: t.Any
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed(Misfit):
-    """A field is not what it should be."""
+    """A field is missing, unknown or of the wrong type or range."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TooLarge(Misfit):
-    """One task needs more than the largest listed worker has; this is final."""
+    """One task needs more than any listed worker has; retrying does not help."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,28 +33,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """The job id was used before for another job."""
+    """The job id is in use for a different job."""
 
     job_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownJob:
-    """The team has no job of this id."""
+    """The team has no job with this id."""
 
     job_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The table does not answer; nothing was recorded."""
+    """The table does not answer; nothing was written."""
 
     retry_after: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Undecided:
-    """The job's write may stand; submit the same job again to find out."""
+    """The write may have taken effect; submit the same job again to find out."""
 
     retry_after: float
 
--- a/src/mangosail/jobs/held.py
+++ b/src/mangosail/jobs/held.py
@@ -1,4 +1,4 @@
-"""A job that this instance sees to."""
+"""The state of a job that this instance holds."""
 
 import collections
 import dataclasses
@@ -8,13 +8,13 @@
 from mangosail.jobs import messages, records, tracker
 from mangosail.work import messages as work_messages
 
-#: Failed attempts, without one success, after which a job may be given up.
+#: Failed attempts, without a single success, after which a job may be given up.
 POISON_MIN_FAILURES = 6
-#: Workers on which it must have failed, if there are as many.
+#: Workers on which attempts must have failed, if there are that many.
 POISON_MIN_WORKERS = 2
 
-#: Seconds until the first reading of a followed task's row, and at most
-#: between two. 17,000 running tasks read every 30 s are 570 rows a second.
+#: Delay before the first poll of a task's row, and the longest one between two
+#: polls. Polling 17,000 running tasks every 30 s reads 570 rows/s.
 INITIAL_POLL_INTERVAL_S = 1.0
 MAX_POLL_INTERVAL_S = 30.0
 
@@ -23,58 +23,58 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollSchedule:
-    """When a task's row is read next, in monotonic time, and after which wait.
+    """The monotonic time of the next poll of a task's row, and the interval used.
 
-    The waits double: who runs the task tells of its end, and the row is read
-    only because that message may be lost.
+    The interval doubles with each poll: the instance that runs the task reports its
+    end, and polling only covers the loss of that message.
     """
 
     poll_at: float
     interval: float
 
     def after_poll(self, now: float) -> "PollSchedule":
-        """Return when to read the row the next time."""
-        wait = min(self.interval * 2, MAX_POLL_INTERVAL_S)
-        return PollSchedule(now + wait, wait)
+        """Return the schedule of the following poll."""
+        interval = min(self.interval * 2, MAX_POLL_INTERVAL_S)
+        return PollSchedule(now + interval, interval)
 
 
 class HeldJob:
-    """A job's rows and tasks, as its holder keeps them."""
+    """A job's stored rows and the status of its tasks, as kept by its holder."""
 
     def __init__(self, stored: records.StoredJob) -> None:
         self.stored = stored
         self.tracker = tracker.TaskTracker(stored.row.job.tasks)
-        #: Rises from job to job; the older one has its turn first.
+        #: Increases with each job; among equals, the older job is placed first.
         self.sequence_number = next(SEQUENCE_NUMBERS)
-        #: State to be recorded next; differs from the found one when it changed.
+        #: State to be written next; differs from the stored one after a change.
         self.state = stored.state.state
         self.reason = stored.state.reason
-        #: Monotonic time since which the next task finds no room; None if it does.
+        #: Monotonic time since which the next task has not fit; None if it fits.
         self.blocked_since: float | None = None
-        #: Tasks of whose end this instance may not hear.
+        #: Polls of the tasks whose end might not be reported to this instance.
         self.polls: dict[int, PollSchedule] = {}
         self.failures = 0
-        #: Failed attempts of each task that has some.
+        #: Failed attempts by task index.
         self.failed_attempts: collections.Counter[int] = collections.Counter()
         self.failed_workers: set[str] = set()
 
     @property
     def spec(self) -> messages.Job:
-        """Return what was declared."""
+        """Return the job as it was submitted."""
         return self.stored.row.job
 
     def request(self, index: int) -> work_messages.Request:
-        """Return the present attempt of a task."""
+        """Return the work request of a task's current attempt."""
         return tracker.task_request(self.spec, index, self.tracker.attempts[index])
 
     def schedule_poll(
         self, index: int, now: float, interval: float = INITIAL_POLL_INTERVAL_S
     ) -> None:
-        """Read a task's row in `wait` seconds, unless that is planned already."""
+        """Poll a task's row in `interval` seconds, unless a poll is scheduled."""
         self.polls.setdefault(index, PollSchedule(now + interval, interval))
 
     def running_needs(self) -> resources.Resources:
-        """Return what the job's running tasks take together."""
+        """Return the total resource needs of the running tasks."""
         count = self.tracker.counts[tracker.TaskStatus.RUNNING]
         needs = self.spec.needs
         return resources.Resources(
@@ -82,7 +82,7 @@
         )
 
     def next_state(self) -> messages.JobState:
-        """Return the state as it stands now, to be recorded."""
+        """Return the current state in the form in which it is stored."""
         before = self.stored.state
         return messages.JobState(
             before.team,
@@ -95,14 +95,14 @@
         )
 
     def poisoned(self, workers: int) -> bool:
-        """Tell whether the job fails wherever it is tried."""
+        """Return whether the job fails on every worker and should be given up."""
         if self.tracker.counts[tracker.TaskStatus.COMPLETED]:
             return False
         enough = self.failures >= POISON_MIN_FAILURES
         return enough and len(self.failed_workers) >= min(POISON_MIN_WORKERS, workers)
 
     def stop(self, state: messages.State, reason: str) -> None:
-        """Let no waiting task start any more."""
+        """Leave the running state and cancel all waiting tasks."""
         if self.state is not messages.State.RUNNING:
             return
         self.state = state
--- a/src/mangosail/jobs/messages.py
+++ b/src/mangosail/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Jobs as teams declare them, their rows, and how far they have come."""
+"""Jobs as teams submit them, their rows in the table, and their progress."""
 
 import dataclasses
 import enum
@@ -10,10 +10,10 @@
 
 
 class State(enum.StrEnum):
-    """Where a job stands."""
+    """The state of a job."""
 
     RUNNING = "running"
-    #: Cancelled by its team; some tasks may still be on their way to the end.
+    #: Cancelled by its team; some of its tasks may not have stopped yet.
     CANCELLING = "cancelling"
     COMPLETED = "completed"
     FAILED = "failed"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """`tasks` restartable tasks of one kind; each gets `body` and its index."""
+    """`tasks` restartable tasks of one kind; each receives `body` and its index."""
 
     team: str
     job_id: str
@@ -30,13 +30,13 @@
     tasks: int
     needs: resources.Resources
     body: t.Any = None
-    #: Starts before all other batch work, and in its place if need be.
+    #: Starts before all other batch work, which may be evicted for it.
     urgent: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Counts:
-    """How many of a job's tasks stand where; the rest waits."""
+    """The number of a job's tasks in each state; the rest is waiting."""
 
     running: int = 0
     completed: int = 0
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobState:
-    """What changes about a job: small, for it is written again and again."""
+    """The mutable part of a job; kept small because it is written repeatedly."""
 
     team: str
     job_id: str
-    #: Instance and run that see to the job.
+    #: Name and incarnation of the instance that holds the job.
     holder: str
     incarnation: str
     state: State = State.RUNNING
@@ -60,10 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRow:
-    """A job in the table: what was declared, and its end once it has ended.
+    """A job in the table: its specification, and its final state once it has ended.
 
-    While it runs, its state is a row of its own under the data centre that
-    took it on, so that only running jobs are scanned for lost holders.
+    While the job runs, its state is a separate row under the data centre that
+    accepted it, so that a scan for lost holders reads running jobs only.
     """
 
     job: Job
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """What a team is told of its job."""
+    """The progress of a job as reported to its team."""
 
     job_id: str
     state: State
@@ -89,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Some of a team's jobs by id; `after` asks for the next, None ends."""
+    """A page of a team's jobs by id; `after` is the next cursor, None on the last."""
 
     jobs: tuple[Progress, ...]
     after: str | None = None
@@ -97,18 +97,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """A task that a job's holder has no room for."""
+    """A task that a job's holder has no capacity for."""
 
     holder: str
     request: work_messages.Request
     urgent: bool = False
-    #: True to have batch tasks evicted for an urgent one that finds no room.
+    #: Whether the peer may evict batch tasks to make room for an urgent one.
     clear: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OfferAnswer:
-    """Whether the peer takes the task on, and why not."""
+    """Whether the peer accepts the task, and the reason if it does not."""
 
     accepted: bool
     reason: str = ""
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskEnded:
-    """What became of a task that a peer took on; an empty outcome is none."""
+    """The end of a task that a peer accepted; `outcome` is empty if there is none."""
 
     team: str
     job_id: str
@@ -126,7 +126,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The message was taken in."""
+    """The message was received."""
 
 
 def job_key(team: str, job_id: str) -> str:
@@ -140,24 +140,24 @@
 
 
 def job_digest(job: Job) -> str:
-    """Return what tells two jobs under one id apart."""
+    """Return a digest that differs between different jobs of one id."""
     return hashlib.sha256(codec.to_json(job).encode()).hexdigest()
 
 
 def with_changes(state: JobState, /, **changes: t.Any) -> JobState:
-    """Return `before` with some fields changed."""
+    """Return a copy of `state` with some fields replaced."""
     return dataclasses.replace(state, **changes)
 
 
 def progress_of(job: Job, state: JobState) -> Progress:
-    """Return what a team is told of `job`."""
+    """Return the progress of `job` as reported to its team."""
     counts = state.counts
-    begun = counts.running + counts.completed + counts.failed + counts.cancelled
+    started = counts.running + counts.completed + counts.failed + counts.cancelled
     return Progress(
         job.job_id,
         state.state,
         job.tasks,
-        job.tasks - begun,
+        job.tasks - started,
         counts.running,
         counts.completed,
         counts.failed,
--- a/src/mangosail/jobs/methods.py
+++ b/src/mangosail/jobs/methods.py
@@ -1,9 +1,9 @@
-"""What peers ask about batch tasks."""
+"""Peer methods for batch tasks."""
 
 from mangosail.jobs import messages
 from mangosail.membership import rpc
 
-#: Take a peer's batch task on if there is room.
+#: Offer a batch task to a peer, which accepts it if it has capacity.
 OFFER = rpc.Method("offer", messages.Offer, messages.OfferAnswer)
-#: Take in what became of a task that the peer took on.
+#: Report the end of an accepted task to the holder of its job.
 TASK_ENDED = rpc.Method("task_ended", messages.TaskEnded, messages.Acknowledgement)
--- a/src/mangosail/jobs/offers.py
+++ b/src/mangosail/jobs/offers.py
@@ -1,8 +1,8 @@
-"""Tasks offered to peers that have room, and taken on for peers.
+"""Offering tasks to peers that have capacity, and running tasks for peers.
 
 The peer claims and runs the task and is the holder of its work row; the job's
-holder only waits for the end. A peer tells of it; when that message is lost,
-the row tells the same, which the holder reads now and then.
+holder only waits for the end. The peer reports it; if that message is lost, the
+holder learns the same from the row, which it polls.
 """
 
 import collections.abc as cabc
@@ -20,20 +20,21 @@
 
 log = logbook.Logger("jobs")
 
-#: Seconds that a peer may take to answer an offer.
+#: Timeout of an offer to a peer.
 OFFER_TIMEOUT_S = 0.5
-#: Seconds for which a peer that refused is offered nothing.
+#: Time for which a peer that refused an offer receives no further one.
 REFUSAL_BACKOFF_S = 1.0
-#: Most tasks that this instance runs for peers at a time.
+#: Tasks that this instance runs for peers at a time.
 MAX_PEER_TASKS = 256
-#: Seconds that a peer's task may take until its row alone tells of it.
+#: Time for which this instance waits for a peer's task in order to report its end;
+#: after that, the holder learns of it from the row.
 TASK_TIMEOUT_S = 3600.0
-#: What a peer answers that evicts batch tasks for an urgent one: ask it again.
+#: Reason given by a peer that is evicting batch tasks for an urgent one: retry.
 CLEARING = "clearing"
 
 
 class TaskOffers:
-    """Both sides of offering tasks."""
+    """Makes offers to peers and answers theirs."""
 
     def __init__(
         self,
@@ -50,27 +51,28 @@
         self.lease = lease
         self.clock = clock
         self.counters = counters
-        #: Monotonic time until which a peer is offered nothing.
+        #: By peer: monotonic time until which it is offered nothing.
         self.refused_until: dict[str, float] = {}
-        #: Monotonic time until which a peer is not asked to make room.
+        #: By peer: monotonic time until which it is not asked to make room.
         self.clear_refused_until: dict[str, float] = {}
-        #: The peer that was last making room for us, or empty.
+        #: The peer that last answered `CLEARING`, or empty.
         self.clearing_peer = ""
-        #: Tasks that run here for peers.
+        #: Number of tasks that currently run here for peers.
         self.accepted_count = 0
 
     def offer(self, request: work_messages.Request, urgent: bool) -> bool:
-        """Offer a task to peers with room; True if one may have taken it."""
+        """Offer a task to peers with capacity; True if one may have accepted it."""
         own = self.lease.row
         message = messages.Offer(own.instance, request, urgent)
         peers = self.peers.with_capacity(request.needs, own.data_centre)
         return self._offer_to(peers, message, self.refused_until)
 
     def request_room(self, request: work_messages.Request) -> bool:
-        """Have a peer make room for an urgent task; True if one may have taken it.
+        """Ask peers to evict batch tasks; True if one may have accepted the task.
 
-        Call again until one has: it takes the task only once there is room. The one
-        that is making room is asked first, or a second would evict for the same task.
+        A peer accepts only once it has room, so the call is repeated until one does.
+        The peer that is already evicting is asked first; otherwise a second one would
+        evict for the same task.
         """
         own = self.lease.row
         message = messages.Offer(own.instance, request, urgent=True, clear=True)
@@ -78,9 +80,11 @@
             *self.peers.with_capacity(request.needs, own.data_centre),
             *self.peers.without_capacity(request.needs, own.data_centre),
         ]
-        near = [each for each in peers if each.listed.data_centre == own.data_centre]
-        near.sort(key=lambda each: each.listed.name != self.clearing_peer)
-        return self._offer_to(near, message, self.clear_refused_until)
+        local_peers = [
+            peer for peer in peers if peer.listed.data_centre == own.data_centre
+        ]
+        local_peers.sort(key=lambda peer: peer.listed.name != self.clearing_peer)
+        return self._offer_to(local_peers, message, self.clear_refused_until)
 
     def _offer_to(
         self,
@@ -88,14 +92,14 @@
         message: messages.Offer,
         refused_until: dict[str, float],
     ) -> bool:
-        """Ask one peer after the other until one may have taken the task."""
+        """Ask the peers in turn until one may have accepted the task."""
         now = self.clock.monotonic()
         for peer in peers:
             if now < refused_until.get(peer.listed.name, 0.0):
                 continue
             answer = peer.channel.call(methods.OFFER, message, OFFER_TIMEOUT_S)
             if isinstance(answer, result.Err):
-                # It may have been taken: its row will tell.
+                # The peer may have accepted the task; its row will show.
                 refused_until[peer.listed.name] = now + REFUSAL_BACKOFF_S
                 self.counters.count("jobs.offer.lost")
                 return True
@@ -113,11 +117,11 @@
         self.counters.count("jobs.offer.clearing")
         if self.clearing_peer != peer:
             task_id = work_messages.task_id_of(request)
-            log.info("peer makes room", peer=peer, task=task_id)
+            log.info("peer is evicting for an urgent task", peer=peer, task=task_id)
         self.clearing_peer = peer
 
     def accept(self, offer: messages.Offer) -> messages.OfferAnswer:
-        """Take a peer's task on if there is room."""
+        """Accept a peer's task if there is capacity."""
         if not self.lease.valid():
             return messages.OfferAnswer(False, "lease")
         if self.accepted_count >= MAX_PEER_TASKS:
@@ -130,7 +134,7 @@
         return messages.OfferAnswer(True)
 
     def _make_room(self, offer: messages.Offer) -> str:
-        """Make room for a peer's urgent task if it asks, and return why it waits."""
+        """Make room for an urgent task if asked to; return the reason to refuse it."""
         if not (offer.urgent and offer.clear):
             return "no_capacity"
         now = self.clock.monotonic()
@@ -156,6 +160,6 @@
         ended = messages.TaskEnded(
             request.team, request.job, request.request_id, outcome
         )
-        told = peer.channel.call(methods.TASK_ENDED, ended, OFFER_TIMEOUT_S)
-        if isinstance(told, result.Err):
+        answer = peer.channel.call(methods.TASK_ENDED, ended, OFFER_TIMEOUT_S)
+        if isinstance(answer, result.Err):
             self.counters.count("jobs.offer.end_untold")
--- a/src/mangosail/jobs/ordering.py
+++ b/src/mangosail/jobs/ordering.py
@@ -1,9 +1,9 @@
-"""Which job's task is next when a worker has room.
+"""The order in which jobs are considered when a worker has capacity.
 
-An order is any object with an `arrange` method; the smallest one is::
+An ordering policy is any object with a `rank` method; the smallest one is::
 
     class First:
-        def arrange(self, held, quotas):
+        def rank(self, held, quotas):
             return list(held)
 """
 
@@ -15,30 +15,30 @@
 
 
 class OrderingPolicy(t.Protocol):
-    """Arranges jobs by whose turn it is."""
+    """Ranks jobs for placement."""
 
-    def arrange(
+    def rank(
         self,
         held: cabc.Iterable[held_jobs.HeldJob],
         quotas: cabc.Callable[[str], resources.Resources],
     ) -> list[held_jobs.HeldJob]:
-        """Return `held`, that whose task shall start first at the front."""
+        """Return the `held` jobs by descending priority."""
 
 
 class FairSharePolicy:
-    """Urgent jobs first, then teams by dominant share, then by age.
+    """Ranks urgent jobs first, then by the team's dominant share, then by age.
 
-    A team's share is what it has running here over its quota, of the resource
-    of which it has most. A quota does not cap: when only one team waits, it is
-    the first however much it has, so that unused shares are lent.
+    A team's dominant share is the largest ratio, over all resources, of what its
+    jobs use here to its quota. A quota is no cap: if only one team has waiting
+    tasks, it comes first however much it uses, so that unused quota is lent.
     """
 
-    def arrange(
+    def rank(
         self,
         held: cabc.Iterable[held_jobs.HeldJob],
         quotas: cabc.Callable[[str], resources.Resources],
     ) -> list[held_jobs.HeldJob]:
-        """Return `held`, that whose task shall start first at the front."""
+        """Return the `held` jobs by descending priority."""
         jobs = list(held)
         running: dict[str, resources.Resources] = {}
         for job in jobs:
--- a/src/mangosail/jobs/polling.py
+++ b/src/mangosail/jobs/polling.py
@@ -1,4 +1,4 @@
-"""Following tasks of whose end this instance would not hear."""
+"""Polling of the rows of tasks whose end might not be reported to this instance."""
 
 import result
 
@@ -7,12 +7,12 @@
 from mangosail.telemetry import counters as telemetry
 from mangosail.work import messages as work_messages
 
-#: Rows read at a time.
+#: Rows per read of the table.
 READ_BATCH_SIZE = 500
 
 
 class TaskPoller:
-    """Reads the rows of tasks that run elsewhere, or were left by others."""
+    """Reads the rows of tasks that run on other instances or had another holder."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         self.counters = counters
 
     def poll(self, job: held.HeldJob) -> None:
-        """Read the rows of tasks of whose end we would not hear."""
+        """Read the rows of the tasks whose poll is due and apply their states."""
         now = self.clock.monotonic()
         indices = [idx for idx, each in job.polls.items() if each.poll_at <= now]
-        for first in range(0, len(indices), READ_BATCH_SIZE):
-            part = indices[first : first + READ_BATCH_SIZE]
-            requests = {job.request(idx).request_id: idx for idx in part}
+        for start in range(0, len(indices), READ_BATCH_SIZE):
+            batch = indices[start : start + READ_BATCH_SIZE]
+            requests = {job.request(idx).request_id: idx for idx in batch}
             keys = [work_messages.work_key(job.spec.team, rid) for rid in requests]
             found = self.records.find_work_rows(keys)
             if isinstance(found, result.Err):
@@ -47,7 +47,7 @@
                 self._requeue_unclaimed(job, index)
 
     def _requeue_unclaimed(self, job: held.HeldJob, index: int) -> None:
-        """Queue a task again that was offered but not claimed in time."""
+        """Requeue a task that was offered to a peer but not claimed in time."""
         if index not in job.polls:
             return
         self.counters.count("jobs.retry.offer_lost")
--- a/src/mangosail/jobs/queue.py
+++ b/src/mangosail/jobs/queue.py
@@ -1,4 +1,4 @@
-"""The jobs that this instance sees to, and the tasks that wait for a worker."""
+"""The jobs that this instance holds, and the placement of their waiting tasks."""
 
 import collections.abc as cabc
 
@@ -32,24 +32,26 @@
 
 log = logbook.Logger("jobs")
 
-#: Seconds between attempts to place waiting tasks while things change.
+#: Interval between placement rounds while tasks end or jobs arrive.
 PLACE_INTERVAL_S = 0.05
-#: Seconds between them while nothing does. Each attempt looks at every held job,
-#: so that a few dozen that wait cost more than all else if tried all the time.
+#: Interval between placement rounds while nothing changes. Each round looks at every
+#: held job: with a few dozen waiting, back-to-back rounds would cost more CPU time
+#: than everything else.
 IDLE_PLACE_INTERVAL_S = 0.25
-#: Seconds that one task of a job may take until it is looked at again.
+#: Time for which the end of a task is awaited before its row is polled instead.
 TASK_TIMEOUT_S = 3600.0
-#: Seconds in which a peer that was offered a task claims it, or never will.
+#: Time within which a peer that was offered a task claims it, or never will.
 OFFER_CLAIM_TIMEOUT_S = 10.0
-#: The same for an urgent task, which may not wait for slow peers: one that claims it
-#: later finds that another has, or is found to have it; it starts once.
+#: The same for an urgent task, which must not wait for slow peers. A peer that claims
+#: it later conflicts with the claim of another or becomes its holder; in either case
+#: the task starts once.
 URGENT_OFFER_CLAIM_TIMEOUT_S = 0.5
-#: Attempts at a cancellation while the holder writes at the same time.
+#: Attempts to write a cancellation against concurrent writes of the holder.
 MAX_CANCEL_ATTEMPTS = 5
 
 
 class JobQueue:
-    """Jobs held by this instance; tasks start as soon as they fit."""
+    """Holds jobs and starts their tasks as capacity becomes available."""
 
     def __init__(
         self,
@@ -80,19 +82,17 @@
         self.canceller = cancellation.JobCanceller(
             runner, self.attempt_handler, clock, counters
         )
-        followed = polling.TaskPoller(
-            job_records, self.attempt_handler, clock, counters
-        )
+        poller = polling.TaskPoller(job_records, self.attempt_handler, clock, counters)
         self.recorder = recording.JobRecorder(
-            self.jobs, job_records, followed, self.canceller, lease, counters
+            self.jobs, job_records, poller, self.canceller, lease, counters
         )
-        #: Set when a task may fit that did not: work ended, or a job came.
+        #: Set when a waiting task may fit: some work ended, or a job was added.
         self.changed = gevent.event.Event()
 
     def submit(
         self, job: messages.Job
     ) -> result.Result[tuple[messages.Progress, bool], errors.SubmitError]:
-        """Record `job` durably and queue it; True tells that it is new."""
+        """Store `job` and queue it; return its progress and whether it is new."""
         own = self.lease.row
         state = messages.JobState(job.team, job.job_id, own.instance, own.incarnation)
         row = messages.JobRow(job, messages.job_digest(job), own.data_centre)
@@ -113,7 +113,7 @@
     def look_up(
         self, team: str, job_id: str
     ) -> result.Result[messages.Progress, errors.ReadError]:
-        """Return how far a job has come, whoever holds it."""
+        """Return the progress of a job, whichever instance holds it."""
         own = self.jobs.get(messages.job_key(team, job_id))
         if own is not None:
             return result.Ok(messages.progress_of(own.spec, own.next_state()))
@@ -122,7 +122,7 @@
     def page(
         self, team: str, after: str, limit: int
     ) -> result.Result[messages.Page, errors.StoreUnavailable]:
-        """Return at most `limit` jobs of a team by id, past the id `after`."""
+        """Return up to `limit` jobs of a team in order of id, after the id `after`."""
         found = self.records.page(team, after, limit)
         if isinstance(found, result.Err):
             return found
@@ -133,72 +133,70 @@
     def cancel(
         self, team: str, job_id: str
     ) -> result.Result[messages.Progress, errors.CancelError]:
-        """Cancel a job: durably first, then what waits and runs of it here.
+        """Record the cancellation of a job, then cancel its tasks if it is held here.
 
-        Another holder finds the cancellation when it next records its state.
+        Another holder finds the cancellation when it next records its states.
         """
         for _ in range(MAX_CANCEL_ATTEMPTS):
             found = self.records.find(team, job_id)
             if isinstance(found, result.Err):
                 return found
-            present = found.ok_value
-            if present.state.state is not messages.State.RUNNING:
-                return result.Ok(self._progress(present))
-            state = messages.with_changes(
-                present.state, state=messages.State.CANCELLING
-            )
-            written = self.records.write(present, state)
+            stored = found.ok_value
+            if stored.state.state is not messages.State.RUNNING:
+                return result.Ok(self._progress(stored))
+            state = messages.with_changes(stored.state, state=messages.State.CANCELLING)
+            written = self.records.write(stored, state)
             if isinstance(written, result.Ok):
                 return result.Ok(self._apply_cancellation(written.ok_value))
             if isinstance(written.err_value, platform_errors.Unavailable):
                 return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
-            # The holder wrote its progress in between, or the answer was lost.
+            # The holder wrote its progress concurrently, or the answer was lost.
             self.counters.count("jobs.retry.cancel_conflict")
         return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
 
-    def _apply_cancellation(self, found: records.StoredJob) -> messages.Progress:
+    def _apply_cancellation(self, stored: records.StoredJob) -> messages.Progress:
         self.counters.count("jobs.cancelled")
-        own = self.jobs.get(records.keys_of(found.row)[0])
+        own = self.jobs.get(records.keys_of(stored.row)[0])
         if own is not None:
-            own.stored = found
+            own.stored = stored
             self.canceller.cancel(own)
-        return self._progress(found)
+        return self._progress(stored)
 
     def waiting(self) -> int:
-        """Return how many tasks of held jobs have not been started."""
+        """Return the number of waiting tasks of all held jobs."""
         waiting = tracker.TaskStatus.WAITING
         return sum(job.tracker.counts[waiting] for job in self.jobs.values())
 
     def hold(self, job: held.HeldJob) -> None:
-        """See to a job from now on."""
+        """Add a job to those held by this instance."""
         self.jobs[messages.job_key(job.spec.team, job.spec.job_id)] = job
         self.changed.set()
         if job.state is messages.State.CANCELLING:
             self.canceller.cancel_running(job)
 
     def place_forever(self) -> None:
-        """Place waiting tasks again and again."""
+        """Run placement rounds until the process ends."""
         while True:
             self.changed.clear()
             try:
                 self.place()
             except Exception:
-                # A fault with one job must not stop the others for good.
+                # An error in one job must not stop placement of the others for good.
                 self.counters.count("jobs.place_failed")
-                log.exception("place failed")
+                log.exception("placement round failed")
             self.clock.sleep(PLACE_INTERVAL_S)
             self.changed.wait(IDLE_PLACE_INTERVAL_S - PLACE_INTERVAL_S)
 
     def place(self) -> None:
-        """Start waiting tasks while one of them fits somewhere."""
+        """Start waiting tasks as long as one of them fits on some worker."""
         while self.lease.valid() and self._place_one():
-            # Others have their turn between two tasks.
+            # Yields to other greenlets between two tasks.
             self.clock.sleep(0)
 
     def _place_one(self) -> bool:
-        """Start the first task in order that fits, and tell whether one did."""
+        """Start the highest-ranked task that fits; return whether there was one."""
         now = self.clock.monotonic()
-        for job in self.ordering.arrange(self.jobs.values(), self.quotas):
+        for job in self.ordering.rank(self.jobs.values(), self.quotas):
             index = job.tracker.next_index(now)
             if index is None:
                 continue
@@ -223,9 +221,10 @@
         return True
 
     def _make_room(self, job: held.HeldJob, index: int, blocked_since: float) -> bool:
-        """Have room made here, or else by a peer; True if one may have the task.
+        """Make room here, else ask peers; return whether one may have the task.
 
-        This instance may have no workers, or none that can be cleared.
+        Peers are asked because this instance may have no worker, or none on which
+        evictions would make enough room.
         """
         request = job.request(index)
         if self.room.make_room(request, job.spec.urgent, blocked_since):
@@ -241,10 +240,10 @@
         self.room.forget(request)
         job.tracker.mark_started(index)
         job.blocked_since = None
-        grace = (
+        claim_timeout = (
             URGENT_OFFER_CLAIM_TIMEOUT_S if job.spec.urgent else OFFER_CLAIM_TIMEOUT_S
         )
-        job.schedule_poll(index, self.clock.monotonic(), grace)
+        job.schedule_poll(index, self.clock.monotonic(), claim_timeout)
 
     def _run(
         self, job: held.HeldJob, index: int, request: work_messages.Request
@@ -263,7 +262,7 @@
     def on_end(
         self, outcome: work_messages.Outcome, row: work_messages.WorkRow
     ) -> None:
-        """Take in the end of work that ran here, adopted work among it."""
+        """Apply the end of work that ran here, including adopted work."""
         self.changed.set()
         request = row.request
         job = self.jobs.get(messages.job_key(request.team, request.job))
@@ -272,7 +271,7 @@
             self.attempt_handler.settle(job, task[0], request.request_id, outcome.state)
 
     def task_ended(self, message: messages.TaskEnded) -> messages.Acknowledgement:
-        """Take in what a peer tells of a task that it took on."""
+        """Apply a peer's report of the end of a task that it had accepted."""
         key = messages.job_key(message.team, message.job_id)
         job = self.jobs.get(key)
         task = tracker.parse_request_id(job.spec, message.request_id) if job else None
--- a/src/mangosail/jobs/recording.py
+++ b/src/mangosail/jobs/recording.py
@@ -1,4 +1,4 @@
-"""Recording the states of held jobs, and learning what others wrote there."""
+"""Writing the states of held jobs, and reading what other instances wrote there."""
 
 import result
 
@@ -7,14 +7,14 @@
 from mangosail.platform import errors as platform_errors
 from mangosail.telemetry import counters as telemetry
 
-#: Seconds between writings of jobs' states, and readings of what we follow.
+#: Interval at which job states are written and due polls are made.
 RECORD_INTERVAL_S = 1.0
 
 
 class JobRecorder:
-    """Keeps the rows of the held `jobs` and what is known of them in step.
+    """Synchronises the held `jobs` with their rows in the table.
 
-    A job that has ended, or that another instance holds by now, is dropped.
+    A job that has ended, or that another instance has taken over, is dropped.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.counters = counters
 
     def record(self) -> None:
-        """Write what changed of the held jobs, and read of what we follow."""
+        """Write the changed states of held jobs, and poll the tasks that are due."""
         for key, job in list(self.jobs.items()):
             self.poller.poll(job)
             if not self.lease.valid():
@@ -68,16 +68,16 @@
             self._reread(key, job)
 
     def _read_foreign_changes(self) -> None:
-        """Find what others wrote to our jobs' states: cancelled, or taken over."""
+        """Find cancellations and takeovers that other instances wrote to our jobs."""
         rows = [job.stored.row for job in self.jobs.values()]
         found = self.records.find_states(rows)
         if isinstance(found, result.Err):
             return
-        for present in found.ok_value:
-            key = records.keys_of(present.row)[0]
+        for stored in found.ok_value:
+            key = records.keys_of(stored.row)[0]
             job = self.jobs.get(key)
-            if job is not None and present.version > job.stored.version:
-                self._apply_stored(key, job, present)
+            if job is not None and stored.version > job.stored.version:
+                self._apply_stored(key, job, stored)
 
     def _reread(self, key: str, job: held.HeldJob) -> None:
         found = self.records.find(job.spec.team, job.spec.job_id)
@@ -85,18 +85,18 @@
             self._apply_stored(key, job, found.ok_value)
 
     def _apply_stored(
-        self, key: str, job: held.HeldJob, present: records.StoredJob
+        self, key: str, job: held.HeldJob, stored: records.StoredJob
     ) -> None:
-        """Take in a state that this instance did not write."""
+        """Apply a stored state that this instance may not have written."""
         own = self.lease.row
-        holder = (present.state.holder, present.state.incarnation)
-        if present.row.final or holder != (own.instance, own.incarnation):
-            # Another holder queues the tasks now. Those that run here go on;
-            # their rows keep anybody from starting them a second time.
+        holder = (stored.state.holder, stored.state.incarnation)
+        if stored.row.final or holder != (own.instance, own.incarnation):
+            # Another holder queues the tasks from now on. Tasks that run here continue;
+            # their rows keep any instance from starting them a second time.
             self.jobs.pop(key, None)
             job.tracker.cancel_waiting()
             self.counters.count("jobs.lost")
             return
-        job.stored = present
-        if present.state.state is messages.State.CANCELLING:
+        job.stored = stored
+        if stored.state.state is messages.State.CANCELLING:
             self.canceller.cancel(job)
--- a/src/mangosail/jobs/records.py
+++ b/src/mangosail/jobs/records.py
@@ -1,4 +1,4 @@
-"""The rows of jobs in the table."""
+"""Access to the rows of jobs in the table."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job as the table has it; `version` is that of its state's row."""
+    """A job as stored in the table; `version` is that of its state row."""
 
     row: messages.JobRow
     state: messages.JobState
@@ -22,7 +22,7 @@
 
 
 class Records:
-    """Reads and writes jobs; each change is checked against the row it replaces."""
+    """Reads and writes jobs; each write is conditional on the version it replaces."""
 
     def __init__(self, rows: table.Table) -> None:
         self.rows = rows
@@ -30,7 +30,7 @@
     def create(
         self, row: messages.JobRow, state: messages.JobState
     ) -> result.Result[StoredJob, errors.SubmitError]:
-        """Record a job, or find that the same one is recorded already."""
+        """Store a new job, or return the stored one if it is the same."""
         job = row.job
         keys = keys_of(row)
         transaction = table.Transaction(
@@ -47,7 +47,7 @@
             return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
         found = self.find(job.team, job.job_id)
         if isinstance(found, result.Err):
-            # Absent is no proof: the write may still be on its way.
+            # Absence proves nothing: the write may still be in flight.
             return result.Err(errors.Undecided(outcomes.RETRY_AFTER_S))
         if found.ok_value.row.digest != row.digest:
             return result.Err(errors.Conflict(job.job_id))
@@ -69,13 +69,13 @@
             return states
         if states.ok_value:
             return result.Ok(states.ok_value[0])
-        # The job ended between the two reads, so its row has the end by now.
+        # The job ended between the two reads, so its row has the final state by now.
         return self.find(team, job_id)
 
     def page(
         self, team: str, after: str, limit: int
     ) -> result.Result[list[StoredJob], errors.StoreUnavailable]:
-        """Return at most `limit` jobs of `team` by id, past the id `after`."""
+        """Return up to `limit` jobs of `team` in order of id, after the id `after`."""
         prefix = messages.job_key(team, "")
         scanned = self.rows.scan(prefix, prefix + after if after else "", limit)
         if isinstance(scanned, result.Err):
@@ -88,18 +88,18 @@
     ) -> result.Result[list[StoredJob], errors.StoreUnavailable]:
         """Return the jobs of `rows` with their states; one just ended is left out."""
         keys = [keys_of(row)[1] for row in rows if row.final is None]
-        present: dict[str, table.Row] = {}
+        state_rows: dict[str, table.Row] = {}
         if keys:
             read = self.rows.read(keys)
             if isinstance(read, result.Err):
                 return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
-            present = read.ok_value
+            state_rows = read.ok_value
         found: list[StoredJob] = []
         for row in rows:
             if row.final is not None:
                 found.append(StoredJob(row, row.final, table.ABSENT))
                 continue
-            state = present.get(keys_of(row)[1])
+            state = state_rows.get(keys_of(row)[1])
             if state is not None:
                 decoded = codec.from_json(state.value, messages.JobState)
                 found.append(StoredJob(row, decoded, state.version))
@@ -108,7 +108,7 @@
     def find_work_rows(
         self, keys: list[str]
     ) -> result.Result[list[work_messages.WorkRow], errors.StoreUnavailable]:
-        """Return the rows of those pieces of work under `keys` that exist."""
+        """Return the work rows under `keys` that exist."""
         read = self.rows.read(keys)
         if isinstance(read, result.Err):
             return result.Err(errors.StoreUnavailable(outcomes.RETRY_AFTER_S))
@@ -132,7 +132,7 @@
     def write_end(
         self, found: StoredJob, state: messages.JobState
     ) -> result.Result[StoredJob, platform_errors.CommitError]:
-        """Record the end of a job, and take it off the running ones."""
+        """Write the final state of a job and delete its state row."""
         row = dataclasses.replace(found.row, final=state)
         job_key, state_key = keys_of(row)
         transaction = table.Transaction(
@@ -147,7 +147,7 @@
 
 
 def keys_of(row: messages.JobRow) -> tuple[str, str]:
-    """Return the keys of a job and of its state."""
+    """Return the keys of a job's row and of its state row."""
     job = row.job
     return (
         messages.job_key(job.team, job.job_id),
--- a/src/mangosail/jobs/room.py
+++ b/src/mangosail/jobs/room.py
@@ -1,4 +1,4 @@
-"""Room for batch tasks on own workers: found, kept for a big task, or made."""
+"""Capacity for batch tasks on own workers: free, reserved, or made by eviction."""
 
 import dataclasses
 
@@ -17,29 +17,30 @@
 
 log = logbook.Logger("jobs")
 
-#: Seconds for which smaller tasks may pass one that finds no room.
+#: Time for which smaller tasks may overtake one that does not fit.
 RESERVE_AFTER_S = 3.0
-#: Seconds for which a worker is kept. A task that waits asks again four times a
-#: second; a round that waits for silent peers takes a few seconds.
+#: Time after which a reservation ends unless it is renewed. A waiting task renews it
+#: four times a second; a placement round that waits for silent peers takes a few
+#: seconds.
 RESERVATION_TERM_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """A worker that takes no other batch task until `task_id` has started."""
+    """A worker that accepts no other batch task until `task_id` has started."""
 
     worker: str
     task_id: str
     urgent: bool
-    #: Monotonic time until which the worker is kept, unless it is asked for again.
+    #: Monotonic time at which the reservation ends unless it is renewed.
     deadline: float
 
 
 class Room:
-    """Looks for room on own workers, and clears some for who may not wait.
+    """Finds capacity on own workers, reserves it, and evicts for urgent tasks.
 
-    One worker at a time is kept for a big task, so that at most one of them
-    runs empty towards it; an urgent task takes the place of a big one.
+    One worker at a time is reserved, so that at most one drains for a big task;
+    an urgent task replaces the reservation of one that is not urgent.
     """
 
     def __init__(
@@ -56,29 +57,29 @@
         self.clock = clock
         self.counters = counters
         self.reservation: Reservation | None = None
-        #: Tasks on their way here that no ledger has entered yet. Reading a row
-        #: comes before the reservation; without this, all that waits would be
-        #: sent to the one free place meanwhile.
+        #: Needs of tasks sent to the runner that no ledger contains yet. The runner
+        #: reads a row before it reserves capacity; without this, all waiting tasks
+        #: would be sent to the one free place in the meantime.
         self.pending: dict[str, resources.Resources] = {}
-        #: Task ids of urgent work on own workers; never cleared for others.
+        #: Task ids of urgent work on own workers; never evicted for other tasks.
         self.urgent: set[str] = set()
-        #: Task ids of batch tasks whose eviction is under way.
+        #: Task ids of batch tasks whose eviction is in progress.
         self.evicting: set[str] = set()
 
     def worker_count(self) -> int:
-        """Return how many workers there are to try."""
+        """Return the number of own workers that accept work."""
         return sum(owned.accepts() for owned in self.owned)
 
     def fits(self, request: work_messages.Request) -> bool:
-        """Tell whether a batch task can be started here now."""
+        """Return whether a batch task can be started on an own worker now."""
         if self.reservation and not self._still_valid(self.reservation, urgent=False):
             self.cancel_reservation()
-        wanted = placing.placement_work(request)
-        if self.placer.wait_reason(wanted) is not None:
+        work_request = placing.placement_work(request)
+        if self.placer.wait_reason(work_request) is not None:
             return False
-        fitting = self.placer.candidates(wanted)
+        fitting = self.placer.candidates(work_request)
         if not fitting:
-            # It can never run; its start is refused with the reason.
+            # It can never run here; submitting it returns the reason.
             return True
         self._drop_placed()
         free = {owned.name: owned.ledger.free() for owned in fitting}
@@ -88,14 +89,14 @@
         return any(request.needs.fits_in(left) for left in free.values())
 
     def add_pending(self, request: work_messages.Request, urgent: bool) -> None:
-        """Note that a task is on its way to a worker."""
+        """Record that a task has been sent to the runner."""
         task_id = work_messages.task_id_of(request)
         self.pending[task_id] = request.needs
         if urgent:
             self.urgent.add(task_id)
 
     def forget(self, request: work_messages.Request) -> None:
-        """Keep nothing for a task any more: it has ended, or runs elsewhere."""
+        """Drop all state of a task that has ended or runs on another instance."""
         task_id = work_messages.task_id_of(request)
         self.urgent.discard(task_id)
         self.pending.pop(task_id, None)
@@ -103,34 +104,34 @@
             self.cancel_reservation()
 
     def cancel_reservation(self) -> None:
-        """Open the worker that is kept to all again."""
-        kept, self.reservation = self.reservation, None
-        owned = self.owned.get(kept.worker) if kept else None
+        """Open the reserved worker to all tasks again."""
+        reservation, self.reservation = self.reservation, None
+        owned = self.owned.get(reservation.worker) if reservation else None
         if owned is not None:
             owned.reserved_for = ""
 
     def make_room(
         self, request: work_messages.Request, urgent: bool, blocked_since: float
     ) -> bool:
-        """Keep a worker for a task that found no room, if it is its turn.
+        """Reserve a worker for a task that does not fit, and evict for an urgent one.
 
-        For an urgent task, what is lacking there is evicted; True tells that this
-        is under way. Call again while the task finds no room: an eviction may fail,
-        the tasks on a worker that was just taken are known only later, and a worker
-        is not kept for a task that waits no longer.
+        Returns whether room is being made by eviction. The call is repeated for as
+        long as the task does not fit: an eviction may fail, the tasks on a worker
+        taken over a moment ago become known later, and a reservation that is not
+        renewed ends.
         """
         now = self.clock.monotonic()
         if not urgent and now < blocked_since + RESERVE_AFTER_S:
             return False
         task_id = work_messages.task_id_of(request)
-        kept = self.reservation
-        if kept is not None and self._still_valid(kept, urgent):
-            if kept.task_id != task_id:
-                # Its turn comes in a moment, if the other one is about to start.
-                return bool(self.evicting) or kept.task_id in self.pending
+        current = self.reservation
+        if current is not None and self._still_valid(current, urgent):
+            if current.task_id != task_id:
+                # The worker is reserved for another task, which may be about to start.
+                return bool(self.evicting) or current.task_id in self.pending
             if not urgent:
                 self.reservation = dataclasses.replace(
-                    kept, deadline=now + RESERVATION_TERM_S
+                    current, deadline=now + RESERVATION_TERM_S
                 )
                 return False
         needs = self._effective_needs(request)
@@ -144,8 +145,8 @@
         return urgent and self._evict_for(owned, needs)
 
     def _reserve(self, owned: placed.OwnedWorker, reservation: Reservation) -> None:
-        kept = self.reservation
-        if kept is None or (kept.worker, kept.task_id) != (
+        current = self.reservation
+        if current is None or (current.worker, current.task_id) != (
             owned.name,
             reservation.task_id,
         ):
@@ -153,15 +154,20 @@
             urgency = "urgent" if reservation.urgent else "big"
             self.counters.count(f"jobs.reserved.{urgency}")
             log.info(
-                "worker kept", worker=owned.name, task=reservation.task_id, why=urgency
+                "worker reserved",
+                worker=owned.name,
+                task=reservation.task_id,
+                why=urgency,
             )
         self.reservation = reservation
         owned.reserved_for = reservation.task_id
 
     def _effective_needs(self, request: work_messages.Request) -> resources.Resources:
-        """Return what the task is given: its kind may take more than it declared."""
-        wanted = placing.placement_work(request)
-        return self.placer.sizes.needs(placer.size_key(wanted), wanted.needs)
+        """Return the needs that placement uses; learned may exceed declared ones."""
+        work_request = placing.placement_work(request)
+        return self.placer.sizes.needs(
+            placer.size_key(work_request), work_request.needs
+        )
 
     def _drop_placed(self) -> None:
         for owned in self.owned:
@@ -181,45 +187,47 @@
         return reservation.urgent or not owned.closed_to_batch
 
     def _is_placed(self, task_id: str) -> bool:
-        """Tell whether a task has its place; while it runs, others have their turn."""
+        """Return whether a ledger contains the task, so its reservation is over."""
         return any(task_id in owned.ledger.reserved for owned in self.owned)
 
     def _best_worker(
         self, task_id: str, needs: resources.Resources, urgent: bool
     ) -> placed.OwnedWorker | None:
-        """Return the worker that is closest to having room for `needs`.
+        """Return the worker on which room for `needs` costs the fewest evictions.
 
-        The one that is kept for the task comes before others as good: of those that
-        can't be cleared, it is the one that runs empty.
+        The worker that is reserved for the task wins ties: where evictions would not
+        make enough room, it is the one that is already draining.
         """
-        able = [
+        eligible = [
             owned
             for owned in self.owned
             if owned.accepts()
             and needs.fits_in(owned.ledger.capacity)
             and (urgent or not owned.closed_to_batch)
         ]
-        if not able:
+        if not eligible:
             return None
-        return min(able, key=lambda owned: self._eviction_cost(owned, task_id, needs))
+        return min(
+            eligible, key=lambda owned: self._eviction_cost(owned, task_id, needs)
+        )
 
     def _eviction_cost(
         self, owned: placed.OwnedWorker, task_id: str, needs: resources.Resources
     ) -> tuple[bool, bool, int, float]:
         victims, enough = self._victims(owned, needs)
-        others = owned.reserved_for != task_id
-        return (not enough, others, len(victims), -owned.free_cpus())
+        reserved_for_other = owned.reserved_for != task_id
+        return (not enough, reserved_for_other, len(victims), -owned.free_cpus())
 
     def _victims(
         self, owned: placed.OwnedWorker, needs: resources.Resources
     ) -> tuple[list[str], bool]:
-        """Return the fewest tasks in whose place `needs` would fit, and if it would.
+        """Return the fewest tasks to evict for `needs`, and whether that is enough.
 
-        Room that evictions under way are about to make counts as made.
+        Capacity that evictions in progress will free counts as free.
         """
         reserved = owned.ledger.reserved
         free = owned.ledger.free()
-        lower: list[str] = []
+        evictable: list[str] = []
         for request in work.batch_tasks_on(self.runner, owned.name):
             task_id = work_messages.task_id_of(request)
             if task_id not in reserved or task_id in self.urgent:
@@ -227,9 +235,9 @@
             if task_id in self.evicting:
                 free = free + reserved[task_id]
             else:
-                lower.append(task_id)
+                evictable.append(task_id)
         victims: list[str] = []
-        for task_id in sorted(lower, key=lambda each: -reserved[each].cpus):
+        for task_id in sorted(evictable, key=lambda each: -reserved[each].cpus):
             if needs.fits_in(free):
                 break
             free = free + reserved[task_id]
@@ -237,14 +245,14 @@
         return victims, needs.fits_in(free)
 
     def _evict_for(self, owned: placed.OwnedWorker, needs: resources.Resources) -> bool:
-        """Evict what is in the way of `needs`, unless it would not be enough."""
+        """Evict tasks to make room for `needs`, unless that would not be enough."""
         victims, enough = self._victims(owned, needs)
         if not enough:
-            # The evicted would lose their places, and the task would wait as before.
+            # Tasks would be evicted, and this one would still have to wait.
             return False
         for task_id in victims:
             self.evicting.add(task_id)
-            log.info("evicting", worker=owned.name, task=task_id, why="urgent")
+            log.info("evicting task", worker=owned.name, task=task_id, why="urgent")
             gevent.spawn(self._evict, task_id)
         return True
 
@@ -255,6 +263,6 @@
             self.evicting.discard(task_id)
         if isinstance(evicted, result.Err):
             self.counters.count("jobs.evict_failed")
-            log.info("not evicted", task=task_id, why=evicted.err_value.reason)
+            log.info("eviction failed", task=task_id, why=evicted.err_value.reason)
             return
         self.counters.count("jobs.evicted.urgent")
--- a/src/mangosail/jobs/takeover.py
+++ b/src/mangosail/jobs/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over the jobs of holders that are gone."""
+"""Takeover of jobs whose holder has gone."""
 
 import collections.abc as cabc
 
@@ -15,15 +15,16 @@
 
 log = logbook.Logger("jobs")
 
-#: Seconds between scans of all running jobs while no session has ended.
+#: Interval between scans of all running jobs while no session has ended.
 SCAN_INTERVAL_S = 15.0
 
 
 class Takeover:
-    """Finds running jobs whose holder's session has ended, and takes its share.
+    """Finds running jobs whose holder's session has ended, and takes over its share.
 
-    All instances compute alike which of them takes a job; should two think
-    that they do, the compare-and-set on the job's state lets one of them.
+    All instances compute in the same way which of them takes over a job. If two
+    come to different results, the compare-and-set on the job's state row lets one
+    of them win.
     """
 
     def __init__(
@@ -45,12 +46,12 @@
         self.known_holders: set[str] = set()
 
     def refresh(self) -> None:
-        """Scan the running jobs if a session came or went, or it is time."""
-        # Not the live ones: a session lapses a little before it is ended, and
-        # only then are its jobs free to be taken.
-        present = self.sessions.active_incarnations()
+        """Scan the running jobs if the set of sessions changed or a scan is due."""
+        # Not the live sessions: a session expires a little before it is marked as
+        # ended, and its jobs may be taken over only after that.
+        holders = self.sessions.active_incarnations()
         now = self.clock.monotonic()
-        if present == self.known_holders and now < self.next_scan_at:
+        if holders == self.known_holders and now < self.next_scan_at:
             return
         if not self.lease.valid():
             return
@@ -58,12 +59,12 @@
         found = table.scan_all(self.rows, f"{prefix}/")
         if isinstance(found, result.Err):
             return
-        self.known_holders = present
+        self.known_holders = holders
         self.next_scan_at = now + SCAN_INTERVAL_S
         for row in found.ok_value:
             state = codec.from_json(row.value, messages.JobState)
             if self._should_take_over(state) and not self._take_over(state):
-                # Not all was taken, so the next round scans again.
+                # A takeover failed, so the next round scans again.
                 self.next_scan_at = now
 
     def _should_take_over(self, state: messages.JobState) -> bool:
@@ -72,7 +73,7 @@
         if key in self.jobs.jobs:
             return False
         if state.incarnation == own.incarnation:
-            # Ours, by a write whose answer was lost.
+            # Held by this instance through a write whose answer was lost.
             return True
         if self.sessions.may_hold_leases(state.holder, state.incarnation):
             return False
@@ -81,18 +82,18 @@
         return best == own.instance
 
     def _take_over(self, state: messages.JobState) -> bool:
-        """Become a job's holder, and tell whether that is settled."""
+        """Become the holder of a job; return False if that has to be retried."""
         found = self.jobs.records.find(state.team, state.job_id)
         if isinstance(found, result.Err):
             return False
         own = self.lease.row
-        before = found.ok_value
-        if before.row.final or before.state.incarnation != state.incarnation:
+        stored = found.ok_value
+        if stored.row.final or stored.state.incarnation != state.incarnation:
             return True
-        taken = messages.with_changes(
-            before.state, holder=own.instance, incarnation=own.incarnation
+        new_state = messages.with_changes(
+            stored.state, holder=own.instance, incarnation=own.incarnation
         )
-        written = self.jobs.records.write(before, taken)
+        written = self.jobs.records.write(stored, new_state)
         if isinstance(written, result.Err):
             self.counters.count("jobs.takeover_failed")
             return False
@@ -105,7 +106,7 @@
         return True
 
     def _rebuild(self, job: held.HeldJob) -> bool:
-        """Learn from the rows of a job's tasks where each of them stands."""
+        """Restore the status of each task of a job from the work rows."""
         prefix = work_messages.work_key(job.spec.team, f"{job.spec.job_id}.")
         found = table.scan_all(self.rows, prefix)
         if isinstance(found, result.Err):
@@ -123,22 +124,22 @@
     def _restore_task(
         self, job: held.HeldJob, index: int, state: work_messages.State
     ) -> None:
-        """Enter a task whose last attempt is in `state`."""
+        """Restore the status of a task whose last attempt is in `state`."""
         job.tracker.set_status(index, tracker.TaskStatus.RUNNING)
         if state is work_messages.State.COMPLETED:
             job.tracker.set_status(index, tracker.TaskStatus.COMPLETED)
             return
-        # Those with an end or an eviction are settled at the next reading.
+        # Failed, cancelled and evicted attempts are settled at the next poll.
         job.schedule_poll(index, self.clock.monotonic())
         if state is work_messages.State.FAILED:
-            # Counted again when it is settled.
+            # It is counted again when it is settled.
             job.failed_attempts[index] -= 1
 
 
 def last_attempts(
     job: held.HeldJob, rows: cabc.Iterable[work_messages.WorkRow]
 ) -> dict[int, tuple[int, work_messages.WorkRow]]:
-    """Return the last attempt of each task and its row; count those that failed."""
+    """Return each task's last attempt and its row, and count the failed attempts."""
     last: dict[int, tuple[int, work_messages.WorkRow]] = {}
     for row in rows:
         task = tracker.parse_request_id(job.spec, row.request.request_id)
--- a/src/mangosail/jobs/tracker.py
+++ b/src/mangosail/jobs/tracker.py
@@ -1,4 +1,4 @@
-"""Where each task of one held job stands, in a byte a task."""
+"""The status of each task of a held job, in one byte per task."""
 
 import collections.abc as cabc
 import enum
@@ -7,12 +7,12 @@
 from mangosail.jobs import messages
 from mangosail.work import messages as work_messages
 
-#: Starts that one task may take in all before it counts as failed.
+#: Failed attempts after which a task counts as failed.
 MAX_FAILED_ATTEMPTS = 3
 
 
 class TaskStatus(enum.IntEnum):
-    """Where a task stands; the order is of no meaning."""
+    """The status of a task; the order of the values has no meaning."""
 
     WAITING = 0
     RUNNING = 1
@@ -22,24 +22,24 @@
 
 
 class TaskTracker:
-    """The tasks of a job by index, and which of them is next.
+    """Tracks the tasks of a job by index and selects the next one to start.
 
-    A task that failed is tried again under a new attempt number. Its work is
-    then another row, which can't exist before the failure is final, so no two
-    attempts run at once.
+    A failed task is retried under a new attempt number. The new attempt has a work
+    row of its own, which is created only after the failure is final, so that two
+    attempts never run at the same time.
     """
 
     def __init__(self, tasks: int) -> None:
         self.statuses = bytearray(tasks)
         self.attempts = bytearray(tasks)
         self.counts = [tasks] + [0] * (len(TaskStatus) - 1)
-        #: Tasks from here on have never been started.
+        #: Tasks from this index on have never been started.
         self.cursor = 0
-        #: Tasks that wait to be tried again, by the monotonic time of that.
+        #: Heap of the tasks that wait for a retry: (monotonic time, index).
         self.retry_queue: list[tuple[float, int]] = []
 
     def next_index(self, now: float) -> int | None:
-        """Return the index of the next task to start, which stays waiting."""
+        """Return the index of the next task to start without changing its status."""
         if self.retry_queue and self.retry_queue[0][0] <= now:
             return self.retry_queue[0][1]
         while self.cursor < len(self.statuses):
@@ -49,7 +49,7 @@
         return None
 
     def mark_started(self, index: int) -> None:
-        """Note that the task `index`, which was the next, is on its way."""
+        """Mark the task `index`, as returned by `next_index`, as running."""
         if self.retry_queue and self.retry_queue[0][1] == index:
             heapq.heappop(self.retry_queue)
         else:
@@ -57,33 +57,33 @@
         self.set_status(index, TaskStatus.RUNNING)
 
     def requeue(self, index: int, not_before: float) -> None:
-        """Let a task wait again until the monotonic time `not_before`."""
+        """Make a task wait until the monotonic time `not_before`."""
         self.set_status(index, TaskStatus.WAITING)
         heapq.heappush(self.retry_queue, (not_before, index))
 
     def set_status(self, index: int, status: TaskStatus) -> None:
-        """Note where a task stands now."""
+        """Set the status of a task and update the counts."""
         self.counts[self.statuses[index]] -= 1
         self.counts[status] += 1
         self.statuses[index] = status
 
     def with_status(self, status: TaskStatus) -> cabc.Iterator[int]:
-        """Yield the tasks that stand there."""
-        return (idx for idx, at in enumerate(self.statuses) if at == status)
+        """Yield the indices of the tasks with this status."""
+        return (idx for idx, each in enumerate(self.statuses) if each == status)
 
     def cancel_waiting(self) -> None:
-        """Let no waiting task start any more."""
+        """Mark all waiting tasks as cancelled."""
         for index in self.with_status(TaskStatus.WAITING):
             self.set_status(index, TaskStatus.CANCELLED)
         self.retry_queue.clear()
         self.cursor = len(self.statuses)
 
     def all_ended(self) -> bool:
-        """Tell whether every task has reached its end."""
+        """Return whether every task has reached a final status."""
         return not (self.counts[TaskStatus.WAITING] or self.counts[TaskStatus.RUNNING])
 
     def as_counts(self) -> messages.Counts:
-        """Return the counts as they go into the job's row."""
+        """Return the counts in the form in which they are stored."""
         return messages.Counts(
             self.counts[TaskStatus.RUNNING],
             self.counts[TaskStatus.COMPLETED],
@@ -95,7 +95,7 @@
 def task_request(
     job: messages.Job, index: int, attempt: int = 0
 ) -> work_messages.Request:
-    """Return the piece of durable work that is task `index` of `job`."""
+    """Return the work request of an attempt of task `index` of `job`."""
     suffix = f".{attempt}" if attempt else ""
     return work_messages.Request(
         team=job.team,
@@ -109,7 +109,7 @@
 
 
 def parse_request_id(job: messages.Job, request_id: str) -> tuple[int, int] | None:
-    """Return the index and attempt that a request id stands for, if it does."""
+    """Return the task index and attempt of a request id, or None if it has none."""
     parts = request_id.removeprefix(f"{job.job_id}.").split(".")
     if len(parts) > 2 or not all(part.isdecimal() for part in parts):
         return None
--- a/src/mangosail/jobs/validation.py
+++ b/src/mangosail/jobs/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a job's declaration, where it comes in.
+"""Validation of submitted jobs.
 
 An error names the field, its value and what was expected::
 
@@ -16,21 +16,21 @@
 from mangosail import codec, resources
 from mangosail.jobs import errors, messages
 
-#: Most tasks that one job may have.
+#: Maximum number of tasks of one job.
 MAX_TASKS = 100_000
-#: Largest body in bytes of JSON; each of the tasks' rows carries it.
+#: Maximum size of the body as JSON; the row of each task contains a copy.
 MAX_BODY_BYTES = 64 * 1024
-#: Job ids have no dots: a dot parts a job's id from its task's index.
+#: Job ids contain no dots: a dot separates the job id from the task index.
 JOB_ID_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,99}")
 KIND_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
-#: The resources of which a task may need nothing.
+#: Resources that may be omitted or 0.
 OPTIONAL_RESOURCES = ("memory_gb", "accelerators", "slots", "connections")
 
 
 def parse_job(
     team: str, declared: t.Any
 ) -> result.Result[messages.Job, errors.Malformed]:
-    """Return the job that `declared`, decoded JSON, holds."""
+    """Return the job that the decoded JSON value `declared` describes."""
     if not isinstance(declared, dict):
         return malformed("job", declared, "an object")
     known = {field.name for field in dataclasses.fields(messages.Job)} - {"team"}
@@ -68,10 +68,10 @@
 def check_size(
     needs: resources.Resources, capacities: cabc.Sequence[resources.Resources]
 ) -> result.Result[None, errors.TooLarge]:
-    """Refuse `needs` that fit on none of the workers there are.
+    """Refuse `needs` that no listed worker can satisfy.
 
-    Nothing is refused while no worker is listed: what can't be known yet must
-    not be answered for good.
+    Nothing is refused while no worker is listed, since this refusal is final and
+    the workers that will be listed are not known yet.
     """
     if not capacities or any(needs.fits_in(capacity) for capacity in capacities):
         return result.Ok(None)
@@ -103,10 +103,10 @@
     for name in OPTIONAL_RESOURCES:
         if not getattr(needs, name) >= 0:
             return malformed(f"needs.{name}", declared[name], "0 or more")
-    # A task takes one slot of its worker, whatever was declared.
+    # A task occupies at least one slot of its worker, whatever was declared.
     return result.Ok(dataclasses.replace(needs, slots=max(needs.slots, 1)))
 
 
 def malformed(field: str, value: t.Any, expected: str) -> result.Err[errors.Malformed]:
-    """Return the error that `field` is not what was expected."""
+    """Return the error for a malformed `field`."""
     return result.Err(errors.Malformed(field, value, expected))
--- a/src/mangosail/jobs/work.py
+++ b/src/mangosail/jobs/work.py
@@ -1,4 +1,4 @@
-"""What jobs and the control loop need of durable work."""
+"""The interface of durable work that jobs and the control loop use."""
 
 import collections.abc as cabc
 import typing as t
@@ -10,35 +10,35 @@
 
 
 class WorkRunner(t.Protocol):
-    """Durable work as `work.runner.Runner` does it. Deadlines are monotonic."""
+    """The part of `work.runner.Runner` used here. Deadlines are monotonic times."""
 
     def submit(
         self, request: work_messages.Request, deadline: float, forward: bool = True
     ) -> result.Result[work_messages.Outcome, runner.SubmitError]:
-        """Run `request`, resume it, or return what became of it before.
+        """Run or resume `request`, or return the outcome of an earlier run.
 
-        Without `forward`, no peer is asked to run it.
+        Unless `forward` is set, it is not forwarded to a peer.
         """
 
     def cancel(
         self, team: str, request_id: str
     ) -> result.Result[work_messages.Outcome, t.Any]:
-        """Stop a piece of work wherever it is; later starts are refused."""
+        """Stop a piece of work wherever it runs; later starts are refused."""
 
     def evict(
         self, task_id: str, reason: str
     ) -> result.Result[work_messages.Outcome, t.Any]:
-        """Checkpoint a restartable task, stop it, and let it be resumed."""
+        """Checkpoint and stop a restartable task so that it can be resumed."""
 
     def requests_on_worker(self, worker: str) -> cabc.Sequence[work_messages.Request]:
-        """Return the work in hand on an own worker."""
+        """Return the requests of the work in progress on an own worker."""
 
 
 def batch_tasks_on(runner: WorkRunner, worker: str) -> list[work_messages.Request]:
     """Return the batch tasks on a worker, which may be throttled and evicted.
 
-    Releases, verifications and production orders belong to no job and can't
-    be started again, so neither is ever done to them.
+    Releases, verifications and production orders belong to no job and are not
+    restartable, so they are never throttled or evicted.
     """
     return [
         request
--- a/tests/jobs/environment.py
+++ b/tests/jobs/environment.py
@@ -1,4 +1,4 @@
-"""Two instances of one data centre, which share the jobs between them."""
+"""Sets up two instances of one data centre, which share the workers and jobs."""
 
 from tests.support import stage, teams
 
--- a/tests/jobs/steps/jobs_steps.py
+++ b/tests/jobs/steps/jobs_steps.py
@@ -33,7 +33,7 @@
 
 
 def entries(context, job_id, event):
-    """Return the workers' log entries of a job's tasks, with the index of each."""
+    """Return (task index, entry) of the workers' log entries for a job's tasks."""
     prefix = f"fuel-desk/{job_id}."
     return [
         (int(entry["task_id"].removeprefix(prefix).split(".")[0]), entry)
@@ -98,7 +98,7 @@
     'every instance sees "{job_id}" "{state}" with {done:d} of {tasks:d} tasks '
     "within {seconds:d} seconds"
 )
-def seen(context, job_id, state, done, tasks, seconds):
+def reports_progress(context, job_id, state, done, tasks, seconds):
     expected = (state, done, tasks)
 
     def matches(instance):
@@ -117,7 +117,7 @@
 
 
 @then('every index of "{job_id}" completed exactly once')
-def once(context, job_id):
+def completed_once(context, job_id):
     ends = entries(context, job_id, "end")
     done = collections.Counter(i for i, e in ends if e["state"] == "done")
     tasks = range(context.answers[0].json()["tasks"])
@@ -132,8 +132,8 @@
             running.pop(index)
 
 
-@when("jobs with faults are submitted")
-def submit_faulty(context):
+@when("invalid jobs are submitted")
+def submit_invalid(context):
     context.rows = list(context.table)
     context.answers = []
     for row in context.rows:
@@ -145,7 +145,7 @@
 
 
 @then("each answer names the field, the value and what was expected")
-def named(context):
+def names_field(context):
     for row, answer in zip(context.rows, context.answers, strict=True):
         assert answer.status == int(row["status"]), (row, answer)
         assert answer.json()["title"] == row["title"], (row, answer)
@@ -173,11 +173,11 @@
     '{count:d} tasks of "{job_id}" run and it is deleted '
     "while orders to stop are lost for {seconds:d} seconds"
 )
-def delete_in_vain(context, count, job_id, seconds):
+def delete_with_lost_stops(context, count, job_id, seconds):
     stage.wait_until(
         lambda: progress(context, "shymkent-0", job_id).get("running") == count, 20
     )
-    # The starts were answered too by then, so that no order is on its way.
+    # By then the starts have been answered too, so no order is in flight.
     time.sleep(1.0)
     for worker in context.stage.workers:
         context.stage.worker_faults(worker, lose_voids=True)
@@ -196,12 +196,12 @@
 
 
 @then('fewer than {count:d} tasks of "{job_id}" were started')
-def few_started(context, count, job_id):
+def started_fewer(context, count, job_id):
     assert 0 < len(entries(context, job_id, "start")) < count
 
 
-@then('"{job_id}" is not yet done')
-def not_done(context, job_id):
+@then('"{job_id}" is still running')
+def still_running(context, job_id):
     last = progress(context, "shymkent-0", job_id)
     assert last["state"] == "running", last
 
@@ -213,8 +213,8 @@
 def submit_urgent(context, count, job_id, urgent):
     stage.wait_until(lambda: len(entries(context, job_id, "start")) >= count, 20)
     context.submitted_at = time.time()
-    # More cores than the headroom that batch leaves to quotes, so that room
-    # has to be made.
+    # More cores than the headroom that batch leaves to quotes, so that evictions
+    # are necessary.
     urgent_job = {**job(urgent, 1, 12, work_seconds=0.2), "urgent": True}
     post(context, "shymkent-0", urgent_job)
 
@@ -229,13 +229,13 @@
     submit_urgent(context, count, job_id, urgent)
 
 
-@when("the instance is killed between a checkpoint and the move of the row")
+@when("the instance is killed between a checkpoint and the update of the row")
 def kill_between(context):
     stored = stage.wait_until(lambda: entries(context, "bulk", "checkpoint"), 20)
     task_id = stored[0][1]["task_id"]
     context.stage.faults(table="down")
     context.stage.kill(row_of(context, task_id)["holder"])
-    # What the instance had sent to the slow table is refused by then.
+    # By then, writes that the instance had sent to the slow table are refused.
     time.sleep(2 * SLOW_SECONDS)
     row = row_of(context, task_id)
     assert (row["state"], row["checkpoint"]) == ("claimed", ""), row
@@ -250,7 +250,7 @@
 
 
 @then('the first task of "{job_id}" started within {seconds:g} seconds')
-def started_soon(context, job_id, seconds):
+def started_within(context, job_id, seconds):
     first = stage.wait_until(lambda: entries(context, job_id, "start"), 20)[0][1]
     took = first["at"] - context.submitted_at
     assert took <= seconds, took
--- a/tests/jobs/steps/offers_steps.py
+++ b/tests/jobs/steps/offers_steps.py
@@ -9,19 +9,19 @@
 from mangosail.jobs import messages, offers, queue, recording, records
 from mangosail.telemetry import counters
 
-#: Rounds of placing between two recordings of the held jobs.
-ROUNDS_A_RECORDING = int(recording.RECORD_INTERVAL_S / queue.IDLE_PLACE_INTERVAL_S)
+#: Placement rounds between two recordings of the held jobs.
+ROUNDS_PER_RECORDING = int(recording.RECORD_INTERVAL_S / queue.IDLE_PLACE_INTERVAL_S)
 
 
 class Peer:
-    """A peer with its channel: makes room in some rounds, then takes the task."""
+    """A peer with its channel: makes room for some rounds, then accepts the task."""
 
     def __init__(self, name, rounds):
         self.listed = types.SimpleNamespace(name=name, data_centre="here")
         self.channel = self
         self.rounds = rounds
         self.able = True
-        self.asked = []  # answers
+        self.asked = []  # (whether asked to evict, answer)
 
     def call(self, method, message, timeout):
         answer = self.answer(message)
@@ -52,11 +52,13 @@
         return self.peers[1:]
 
 
-def offers_of(peers, run=None, places=None, clock=None):
+def make_offers(peers, runner=None, task_room=None, clock=None):
     row = types.SimpleNamespace(instance="i", data_centre="here")
     lease = types.SimpleNamespace(row=row, valid=lambda: True)
     count = counters.StatsdCounters(None, 0)
-    return offers.TaskOffers(peers, run, places, lease, clock or memory.Clock(), count)
+    return offers.TaskOffers(
+        peers, runner, task_room, lease, clock or memory.Clock(), count
+    )
 
 
 @given('peers "{names}" that would make room in {rounds:d} rounds')
@@ -76,34 +78,37 @@
 
 
 @when("an urgent task is offered in {rounds:d} rounds")
-def offered(context, rounds, turned=False):
-    asking = offers_of(context.peers)
+def offered(context, rounds, rotate=False):
+    task_offers = make_offers(context.peers)
     request = crowded.task("now", 12)
     context.taken = False
     for _ in range(rounds):
-        if turned:
+        if rotate:
             context.peers.peers.append(context.peers.peers.pop(0))
-        context.taken = asking.offer(request, True) or asking.request_room(request)
+        context.taken = task_offers.offer(request, True) or task_offers.request_room(
+            request
+        )
         if context.taken:
             return
 
 
 @when(
-    "an urgent task is offered in {rounds:d} rounds, to the peers in another order each"
+    "an urgent task is offered in {rounds:d} rounds, "
+    "each with another order of the peers"
 )
 def offered_in_turn(context, rounds):
-    offered(context, rounds, turned=True)
+    offered(context, rounds, rotate=True)
 
 
-@then("one peer took it, and no other was asked to make room")
+@then("one peer accepted it, and no other was asked to make room")
 def one_made_room(context):
     assert context.taken
     made = [name for name, peer in context.by_name.items() if peer.made_room()]
     assert len(made) == 1, made
 
 
-@then('"{name}" took it')
-def took(context, name):
+@then('"{name}" accepted it')
+def accepted_by(context, name):
     assert context.taken
     assert context.by_name[name].asked[-1][1].accepted
 
@@ -117,7 +122,7 @@
 def peer_offers(context, name, cpus, clear=False):
     scene = context.scene
     offer = messages.Offer("peer", crowded.task(name, cpus), True, clear)
-    context.answer = offers_of(Peers([]), scene, scene.room).accept(offer)
+    context.answer = make_offers(Peers([]), scene, scene.room).accept(offer)
     gevent.sleep(0)
 
 
@@ -138,7 +143,7 @@
 
 
 class LosingPeer(Peer):
-    """A peer that loses the first offer, and notes when each came."""
+    """A peer that loses the first offer and records the time of each."""
 
     def __init__(self, clock):
         super().__init__("p", 0)
@@ -162,7 +167,7 @@
         records.Records(fakes.Table(fakes.World())),
         scene,
         scene.room,
-        offers_of(peers, scene, scene.room, scene.clock),
+        make_offers(peers, scene, scene.room, scene.clock),
         fakes.Lease("i", "1"),
         lambda team: resources.Resources(cpus=100),
         scene.clock,
@@ -170,8 +175,8 @@
     )
 
 
-@when("a job is handed in that is {kind}")
-def handed_in(context, kind):
+@when("a job that is {kind} is submitted")
+def submit_job(context, kind):
     needs = resources.Resources(12, 2, 0, 1)
     job = messages.Job("t", "j", "k", 1, needs, None, urgent=kind == "urgent")
     assert isinstance(context.queue.submit(job), result.Ok)
@@ -179,8 +184,8 @@
     while len(context.peer.came_at) < 2 and rounds < 200:
         rounds += 1
         context.queue.place()
-        if rounds % ROUNDS_A_RECORDING == 0:
-            context.queue.recording.record()
+        if rounds % ROUNDS_PER_RECORDING == 0:
+            context.queue.recorder.record()
         clock.sleep(queue.IDLE_PLACE_INTERVAL_S)
 
 
--- a/tests/jobs/steps/room_steps.py
+++ b/tests/jobs/steps/room_steps.py
@@ -16,8 +16,8 @@
             scene.run(name, crowded.task(f"{name}.{number}", cpus))
 
 
-@given('the tasks on "{worker}" are not yet in hand')
-def not_in_hand(context, worker):
+@given('the tasks on "{worker}" are not yet adopted')
+def not_adopted(context, worker):
     scene = context.scene
     scene.later[worker], scene.hands[worker] = scene.hands[worker], []
 
@@ -37,8 +37,8 @@
     context.scene.seconds = seconds
 
 
-@given('the kind of "{name}" was seen to take {cpus:d} cores')
-def seen_to_take(context, name, cpus):
+@given('tasks of the kind of "{name}" used {cpus:d} cores')
+def used(context, name, cpus):
     placer = context.scene.placer
     kind = work_placing.placement_work(crowded.task(name, cpus))
     measured = resources.Resources(cpus, 2, 0, 1)
@@ -63,8 +63,8 @@
     gevent.sleep(2 * context.scene.seconds)
 
 
-@when('the tasks on "{worker}" are in hand')
-def in_hand(context, worker):
+@when('the tasks on "{worker}" are adopted')
+def adopted(context, worker):
     scene = context.scene
     scene.hands[worker] = scene.later.pop(worker)
 
@@ -73,14 +73,14 @@
 def started(context, name):
     scene, request = context.scene, context.request
     assert scene.room.fits(request)
-    scene.room.started(request, True)
+    scene.room.add_pending(request, True)
     scene.run(
         scene.placer.candidates(work_placing.placement_work(request))[0].name, request
     )
 
 
-@when('the batch tasks end and "{name}" is asked for no more')
-def asked_no_more(context, name):
+@when('the batch tasks end and "{name}" does not renew its reservation')
+def reservation_not_renewed(context, name):
     scene = context.scene
     for worker, tasks in scene.hands.items():
         for request in [each for each in tasks if each.job]:
@@ -106,7 +106,7 @@
 
 
 @then('{count:d} batch tasks were evicted, and "{name}" does not fit')
-def evicted_in_vain(context, count, name):
+def evicted_without_fit(context, count, name):
     scene = context.scene
     assert len(scene.evicted) == count, scene.evicted
     assert not scene.room.fits(context.request)
