--- a/src/mangosail/membership/__init__.py
+++ b/src/mangosail/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: which other instances there are, and what they say of themselves."""
+"""Membership: discovery of the other instances, and the state that they report."""
--- a/src/mangosail/membership/messages.py
+++ b/src/mangosail/membership/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of their state."""
+"""Messages in which instances report their state to each other."""
 
 import dataclasses
 
@@ -8,21 +8,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """An instance's state, sent to each peer once a second."""
+    """An instance's state, sent to each peer periodically."""
 
     instance: str
     incarnation: str
     data_centre: str
     free: resources.Resources
-    #: True while the instance stops: it takes no new work.
+    #: True while the instance shuts down and accepts no new work.
     draining: bool = False
-    #: All changes of settings up to this one are in force there.
+    #: All settings changes up to this one are in force on the sender.
     settings_sequence: int = 0
-    #: Seconds since the table last answered there; None if it never did.
+    #: Seconds since the sender last read the table; None if it never has.
     settings_age: float | None = None
-    #: Where the sender listens for peers: one that has no list answers there.
+    #: Address on which the sender listens for peers, for receivers that don't have it.
     peer_address: str = ""
-    #: True while the sender has never seen the platform's list.
+    #: True while the sender has never received the platform's list.
     asks_for_peers: bool = False
-    #: All instances that the sender knows, for one that asked.
+    #: All instances known to the sender, for a peer that asked for them.
     known: tuple[inventory.EntryInstance, ...] = ()
--- a/src/mangosail/membership/methods.py
+++ b/src/mangosail/membership/methods.py
@@ -1,6 +1,6 @@
-"""What peers ask of membership."""
+"""Peer-to-peer methods of membership."""
 
 from mangosail.membership import messages, rpc
 
-#: Take in a peer's state and return our own.
+#: Process the sender's state, and return the receiver's.
 HEARTBEAT = rpc.Method("heartbeat", messages.Heartbeat, messages.Heartbeat)
--- a/src/mangosail/membership/peers.py
+++ b/src/mangosail/membership/peers.py
@@ -1,8 +1,9 @@
-"""The peers of this instance: one task for each that is sent heartbeats.
+"""The peers of this instance, and the heartbeats sent to them.
 
-All of the own data centre are, each second. Of another data centre only a few
-are, and less often: requests go there only when there is no room at home, and
-with every pair beating the cost would grow with the number of all instances.
+All peers in the own data centre are sent a heartbeat each second. In every other data
+centre only a few are, and less often: requests go there only when there is no capacity
+locally, and heartbeats between all pairs would make the cost for each instance grow
+with the total number of instances.
 """
 
 import collections.abc as cabc
@@ -24,18 +25,18 @@
 
 #: Seconds between heartbeats to a peer.
 HEARTBEAT_INTERVAL_S = 1.0
-#: Seconds that a heartbeat may take.
+#: Timeout of a heartbeat in seconds.
 HEARTBEAT_TIMEOUT_S = 1.0
-#: Heartbeat intervals after its last one for which a peer counts as reachable.
+#: Heartbeat intervals after the last heartbeat for which a peer counts as reachable.
 REACHABLE_INTERVALS = 3
 #: Seconds between heartbeats to a peer in another data centre.
 REMOTE_HEARTBEAT_INTERVAL_S = 4.0
-#: Peers in each other data centre that are sent heartbeats.
+#: Number of peers in each other data centre that are sent heartbeats.
 REMOTE_PEERS = 2
 
 
 class Peer:
-    """One other instance, as last heard of."""
+    """Another instance, with the state that it last reported."""
 
     def __init__(
         self, listed: inventory.EntryInstance, store: keys.KeyStore | None = None
@@ -43,19 +44,19 @@
         self.listed = listed
         self.channel = rpc.Channel(listed.peer_address, listed.name, store)
         self.state: messages.Heartbeat | None = None
-        #: Monotonic time until which the peer counts as reachable.
+        #: Monotonic time until which the peer is considered reachable.
         self.reachable_deadline = 0.0
-        #: True if it left a request unanswered and was not heard of since.
+        #: True if it left a request unanswered and no heartbeat has succeeded since.
         self.unresponsive = False
-        #: True if it had no room for the last request that was passed on to it.
+        #: True if it had no capacity for the last request forwarded to it.
         self.at_capacity = False
-        #: True while the peer is sent heartbeats.
-        self.beating = False
+        #: True while heartbeats are sent to the peer.
+        self.receives_heartbeats = False
         self.dropped = False
 
 
 class Peers:
-    """All peers, kept in step with the platform's list."""
+    """All peers, kept in sync with the platform's list."""
 
     def __init__(
         self,
@@ -73,16 +74,16 @@
         self.counters = counters
         self.store = store
         self.by_name: dict[str, Peer] = {}
-        #: True once the platform's list was seen: peers are not asked then.
+        #: True once the platform's list was received: peers are not asked any more.
         self.has_list = False
 
     def update(self, listed: cabc.Iterable[inventory.EntryInstance]) -> None:
-        """Keep in step with the platform's list."""
+        """Update the peers from the platform's list."""
         self.has_list = True
         self._update_peers(listed)
 
     def _update_peers(self, listed: cabc.Iterable[inventory.EntryInstance]) -> None:
-        """Take on each new peer and drop those that are gone."""
+        """Add new peers and drop those that are not listed."""
         present = {entry.name: entry for entry in listed if entry.name != self.own_name}
         for name, entry in present.items():
             known = self.by_name.get(name)
@@ -96,26 +97,26 @@
         chosen = self._heartbeat_recipients()
         for peer in self.by_name.values():
             if peer.listed.name not in chosen:
-                peer.beating = False
-            elif not peer.beating:
-                peer.beating = True
-                self.start(peer)
+                peer.receives_heartbeats = False
+            elif not peer.receives_heartbeats:
+                peer.receives_heartbeats = True
+                self.start_heartbeats(peer)
 
-    def start(self, peer: Peer) -> None:
-        """Start the task that sends `peer` heartbeats."""
+    def start_heartbeats(self, peer: Peer) -> None:
+        """Start the greenlet that sends heartbeats to `peer`."""
         gevent.spawn(self._heartbeat_loop, peer)
 
     def _heartbeat_recipients(self) -> set[str]:
         """Return the names of the peers that are sent heartbeats.
 
-        Each instance ranks far peers in an order of its own, so that all of
-        them are greeted by about as many.
+        Each instance ranks peers in other data centres in a different order, so that
+        all of them receive about the same number of heartbeats.
         """
-        by_place: dict[str, list[str]] = {}
+        by_data_centre: dict[str, list[str]] = {}
         for name, peer in self.by_name.items():
-            by_place.setdefault(peer.listed.data_centre, []).append(name)
-        chosen = set(by_place.pop(self.data_centre, ()))
-        for names in by_place.values():
+            by_data_centre.setdefault(peer.listed.data_centre, []).append(name)
+        chosen = set(by_data_centre.pop(self.data_centre, ()))
+        for names in by_data_centre.values():
             chosen.update(sorted(names, key=self._rank)[:REMOTE_PEERS])
         return chosen
 
@@ -124,11 +125,11 @@
         return hashlib.blake2b(pair, digest_size=8).digest()
 
     def listed(self) -> tuple[inventory.EntryInstance, ...]:
-        """Return all peers that are known, for an instance that asks."""
+        """Return all known peers, for an instance that asks for them."""
         return tuple(peer.listed for peer in self.by_name.values())
 
-    def heard(self, message: messages.Heartbeat) -> None:
-        """Take in a heartbeat that a peer sent us."""
+    def record_heartbeat(self, message: messages.Heartbeat) -> None:
+        """Process a heartbeat received from a peer."""
         peer = self.by_name.get(message.instance)
         if self._is_new_address(message, peer):
             self._update_peers([*self.listed(), entry_of(message)])
@@ -136,9 +137,10 @@
         if peer is None:
             return
         peer.state = message
-        if not peer.beating:
-            # Nothing else tells of it: a data centre without workers reached two of
-            # three peers elsewhere, and refused quotes that the third had room for.
+        if not peer.receives_heartbeats:
+            # This peer is not sent heartbeats, so its own are the only source: a data
+            # centre without workers reached only two of three peers elsewhere, and
+            # refused quotes for which the third one had capacity.
             now = self.clock.monotonic()
             peer.reachable_deadline = (
                 now + REACHABLE_INTERVALS * REMOTE_HEARTBEAT_INTERVAL_S
@@ -146,42 +148,42 @@
             peer.unresponsive = peer.at_capacity = False
 
     def handle_heartbeat(self, message: messages.Heartbeat) -> messages.Heartbeat:
-        """Take in a peer's state and return our own."""
-        self.heard(message)
+        """Process a peer's state and return our own."""
+        self.record_heartbeat(message)
         own = self.make_heartbeat(not self.has_list)
         if not message.asks_for_peers:
             return own
         return dataclasses.replace(own, known=self.listed())
 
     def _is_new_address(self, message: messages.Heartbeat, peer: Peer | None) -> bool:
-        """Tell whether `message` is from a peer, or an address, that we lack.
+        """Return whether `message` comes from an unknown peer or address.
 
-        The platform's list can't say where a replaced peer listens while we are
-        cut off from it: calls to the old address would fail for as long.
+        While this instance is cut off from the platform, the list does not give the new
+        address of a replaced peer, and calls to the old one would keep failing.
         """
         if peer is None:
             return not self.has_list
         return message.peer_address not in ("", peer.listed.peer_address)
 
     def reachable(self) -> list[Peer]:
-        """Return the peers that answered lately."""
+        """Return the peers that are considered reachable."""
         now = self.clock.monotonic()
         return [p for p in self.by_name.values() if now < p.reachable_deadline]
 
     def with_capacity(self, needs: resources.Resources, data_centre: str) -> list[Peer]:
-        """Return reachable peers with room, those of `data_centre` first."""
+        """Return reachable peers with enough capacity, those in `data_centre` first."""
         peers = self._available_peers(data_centre)
         return [peer for peer in peers if has_capacity(peer, needs)]
 
     def without_capacity(
         self, needs: resources.Resources, data_centre: str
     ) -> list[Peer]:
-        """Return reachable peers that last told of less room, in the same order."""
+        """Return reachable peers without enough capacity, in the same order."""
         peers = self._available_peers(data_centre)
         return [peer for peer in peers if not has_capacity(peer, needs)]
 
     def reported_slots(self, limit: int) -> dict[str, int]:
-        """Return the free slots that up to `most` reachable peers last told of."""
+        """Return the free slots last reported by up to `limit` reachable peers."""
         return {
             peer.listed.name: free.slots
             for peer in self.reachable()[:limit]
@@ -189,11 +191,11 @@
         }
 
     def _available_peers(self, data_centre: str) -> list[Peer]:
-        """Return the peers that take new work, in the order to ask them.
+        """Return the peers that accept new work, in the order in which to try them.
 
-        Silent ones come last: a frozen peer counts as reachable for up to 12 s, and
-        each request that asked it first waited in vain. Before them come those that had
-        no room for what was passed on to them last.
+        Unresponsive peers come last: a frozen peer is considered reachable for up to
+        12 s, and every request that tried it first waited in vain. Before them come
+        those that had no capacity for the last request forwarded to them.
         """
         open_peers = [
             (
@@ -208,21 +210,21 @@
         return [peer for *_, peer in sorted(open_peers, key=lambda e: e[:3])]
 
     def _add_known(self, known: cabc.Iterable[inventory.EntryInstance]) -> None:
-        """Add what peers say, while the platform's list was never seen."""
+        """Add peers reported by a peer, unless the platform's list was received."""
         if not self.has_list:
             self._update_peers([*self.listed(), *known])
 
     def _drop(self, peer: Peer) -> None:
         peer.dropped = True
-        if not peer.beating:
+        if not peer.receives_heartbeats:
             peer.channel.close()
-        log.info("peer gone", peer=peer.listed.name)
+        log.info("peer removed", peer=peer.listed.name)
 
     def _heartbeat_loop(self, peer: Peer) -> None:
-        log.info("peer found", peer=peer.listed.name)
+        log.info("heartbeats started", peer=peer.listed.name)
         near = peer.listed.data_centre == self.data_centre
         interval = HEARTBEAT_INTERVAL_S if near else REMOTE_HEARTBEAT_INTERVAL_S
-        while peer.beating and not peer.dropped:
+        while peer.receives_heartbeats and not peer.dropped:
             self._send_heartbeat(peer, interval)
             self.clock.sleep(interval)
         if peer.dropped:
@@ -246,25 +248,25 @@
 
 
 def preference_key(peer: Peer) -> tuple[bool, bool]:
-    """Return what orders peers by how likely they are to serve, the best first."""
+    """Return the sort key that orders peers by how likely they are to serve."""
     return peer.unresponsive, peer.at_capacity
 
 
 def free_capacity(peer: Peer) -> resources.Resources | None:
-    """Return the room that a peer last told of; None if it takes no new work."""
+    """Return a peer's reported free capacity; None if it accepts no new work."""
     if peer.state is None or peer.state.draining:
         return None
     return peer.state.free
 
 
 def has_capacity(peer: Peer, needs: resources.Resources) -> bool:
-    """Tell whether `needs` fit into what a peer last told of."""
+    """Return whether `needs` fit into the free capacity that a peer last reported."""
     free = free_capacity(peer)
     return free is not None and needs.fits_in(free)
 
 
 def entry_of(message: messages.Heartbeat) -> inventory.EntryInstance:
-    """Return the list's entry of the sender of `message`, as it says itself."""
+    """Return the sender of `message` as an entry of the instance list."""
     return inventory.EntryInstance(
         message.instance, message.data_centre, message.peer_address
     )
--- a/src/mangosail/membership/rpc.py
+++ b/src/mangosail/membership/rpc.py
@@ -14,12 +14,12 @@
 from mangosail.tls import peers as tls_peers
 
 SERVICE = "mangosail.Peer"
-#: Requests from peers that are served at a time.
+#: Maximum number of peers' requests served concurrently.
 SERVER_THREADS = 64
-#: Milliseconds until a peer that was lost is tried again: at first, and at most.
+#: Backoff in milliseconds before reconnecting to a lost peer: initial and maximum.
 RECONNECT_INITIAL_MS = 100
 RECONNECT_MAX_MS = 1000
-#: Seconds for which a channel with old keys is kept for the calls under way.
+#: Seconds for which a channel with old keys is kept open for pending calls.
 OLD_CHANNEL_GRACE_S = 30.0
 
 CHANNEL_OPTIONS = (
@@ -29,32 +29,32 @@
 )
 
 
-Asked = t.TypeVar("Asked")
-Answered = t.TypeVar("Answered")
+RequestT = t.TypeVar("RequestT")
+ResponseT = t.TypeVar("ResponseT")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Method(t.Generic[Asked, Answered]):
-    """A call between instances, declared by the slice that owns its messages.
+class Method(t.Generic[RequestT, ResponseT]):
+    """An RPC method, declared by the package that owns its messages.
 
-    ``FORWARD = Method("forward", Forwarded, ForwardedAnswer)``; the name goes on
-    the wire, so it stays as it is while instances of two releases run together.
+    ``FORWARD = Method("forward", Forwarded, ForwardedAnswer)``; the name is sent on the
+    wire, so it must not change while instances of two releases run together.
     """
 
     name: str
-    request_type: type[Asked]
-    response_type: type[Answered]
+    request_type: type[RequestT]
+    response_type: type[ResponseT]
 
     def with_handler(
-        self, handler: cabc.Callable[[Asked], Answered]
+        self, handler: cabc.Callable[[RequestT], ResponseT]
     ) -> "MethodHandler":
-        """Return the method with what answers it here."""
+        """Return the method with the handler that implements it on this instance."""
         return MethodHandler(self.name, self.request_type, handler)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MethodHandler:
-    """A method's handler, whose types `Method.served_by` has held against it."""
+    """A method with its handler, type-checked through `Method.with_handler`."""
 
     name: str
     request_type: type
@@ -67,9 +67,9 @@
     store: keys.KeyStore | None = None,
     known: cabc.Container[str] = (),
 ) -> grpc.Server:
-    """Start a server for peers on `address` that answers the `served` methods.
+    """Start a server on `address` that answers peers' calls with `handlers`.
 
-    With keys in `store`, callers must prove to be one of the `known` instances.
+    With keys in `store`, callers must authenticate as one of the `known` instances.
     """
     pool = concurrent.futures.ThreadPoolExecutor(max_workers=SERVER_THREADS)
     server = grpc.server(pool, options=(("grpc.so_reuseport", 0),))
@@ -109,7 +109,7 @@
 
 
 class Channel:
-    """Calls to one peer."""
+    """A gRPC channel to one peer."""
 
     def __init__(
         self, address: str, name: str = "", store: keys.KeyStore | None = None
@@ -124,18 +124,18 @@
         self.channel = tls_peers.channel(
             self.address, self.name, self.store, CHANNEL_OPTIONS
         )
-        #: The call of each method that was used, by its name.
+        #: Stubs of the methods called so far, by method name.
         self.stubs: dict[str, cabc.Callable[..., t.Any]] = {}
 
     def call(
-        self, method: Method[Asked, Answered], message: Asked, timeout: float
-    ) -> result.Result[Answered, str]:
-        """Return the peer's answer within `timeout` seconds; an Err names the status.
+        self, method: Method[RequestT, ResponseT], message: RequestT, timeout: float
+    ) -> result.Result[ResponseT, str]:
+        """Return the peer's answer, or the gRPC status as an Err.
 
         ``channel.call(methods.HEARTBEAT, own, HEARTBEAT_TIMEOUT_S)``
         """
         if self.store is not None and self.store.version != self.version:
-            # Calls under way end on the old channel, which is closed after them.
+            # Pending calls complete on the old channel, which is closed later.
             gevent.spawn_later(OLD_CHANNEL_GRACE_S, self.channel.close)
             self._open()
         try:
@@ -154,5 +154,5 @@
         return call
 
     def close(self) -> None:
-        """Give the channel up."""
+        """Close the channel."""
         self.channel.close()
--- a/tests/front/steps/forwarding_steps.py
+++ b/tests/front/steps/forwarding_steps.py
@@ -9,12 +9,14 @@
 from mangosail.settings import schema
 from mangosail.telemetry import counters
 
-#: Seconds that a caller gives its quote.
+#: Timeout of the callers' quotes in seconds.
 TIMEOUT = 1.0
-#: What each peer has free, in the words of the scenarios.
-ROOM = {
-    "with room": resources.Resources(cpus=8.0, memory_gb=64.0, slots=8, connections=8),
-    "with less room": resources.Resources(
+#: Free capacity of a peer, by the wording of the scenarios.
+FREE_CAPACITY = {
+    "with capacity": resources.Resources(
+        cpus=8.0, memory_gb=64.0, slots=8, connections=8
+    ),
+    "with less capacity": resources.Resources(
         cpus=4.0, memory_gb=32.0, slots=4, connections=4
     ),
     "without": resources.Resources(),
@@ -22,7 +24,7 @@
 
 
 class FakeChannel:
-    """Answers as told, and notes that it was asked."""
+    """Returns the configured answer, and records each call."""
 
     def __init__(self, name, asked):
         self.name = name
@@ -42,33 +44,33 @@
     )
 
 
-def add_peer(context, name, room):
+def add_peer(context, name, capacity):
     listed = inventory.EntryInstance(name, "shymkent", "127.0.0.1:1")
     peer = peers.Peer(listed)
     peer.channel = FakeChannel(name, context.asked)
-    peer.state = heartbeat(name, room)
+    peer.state = heartbeat(name, capacity)
     peer.reachable_deadline = context.clock.monotonic() + 60.0
     context.peers.by_name[name] = peer
 
 
-def heartbeat(name, room):
-    return membership_messages.Heartbeat(name, "1", "shymkent", ROOM[room])
+def heartbeat(name, capacity):
+    return membership_messages.Heartbeat(name, "1", "shymkent", FREE_CAPACITY[capacity])
 
 
-@given('a peer "{first}" {room} and a peer "{second}" {other_room}')
-def two_peers(context, first, room, second, other_room):
+@given('a peer "{first}" {capacity} and a peer "{second}" {other_capacity}')
+def two_peers(context, first, capacity, second, other_capacity):
     context.asked = []
     context.clock = clock.SystemClock()
     counts = counters.StatsdCounters(None, 0)
     context.peers = peers.Peers("own", "taraz", None, context.clock, counts)
-    add_peer(context, first, room)
-    add_peer(context, second, other_room)
-    context.bare = context.retries = True
+    add_peer(context, first, capacity)
+    add_peer(context, second, other_capacity)
+    context.has_no_workers = context.retries_left = True
     context.forwarding = forwarding.Forwarding(
         context.peers,
         "taraz",
-        lambda: context.bare,
-        lambda reason: context.retries,
+        lambda: context.has_no_workers,
+        lambda reason: context.retries_left,
         lambda *refusal: result.Err(
             messages.Refusal(refusal[0], refusal[1], 1.0, refusal[2])
         ),
@@ -91,9 +93,9 @@
     context.peers.by_name[other].channel.answer = served_by(other)
 
 
-@given("own workers that are full, and no retries to spend")
-def own_full(context):
-    context.bare = context.retries = False
+@given("own workers that are full, and an exhausted retry budget")
+def own_workers_full(context):
+    context.has_no_workers = context.retries_left = False
 
 
 @when('"{full}" refuses "{reason}" as "{outcome}" and "{other}" serves')
@@ -105,21 +107,21 @@
     by_name[other].channel.answer = served_by(other)
 
 
-@then("a quote finds no peer to ask")
-def none_asked(context):
+@then("a quote is forwarded to no peer")
+def forwarded_to_no_peer(context):
     assert ask(context) is None
     assert context.asked == [], context.asked
 
 
 @when('"{name}" serves and sends a heartbeat')
-def heard_again(context, name):
+def serves_and_sends_heartbeat(context, name):
     context.peers.by_name[name].channel.answer = served_by(name)
     send_heartbeat(context, name)
 
 
 @when('"{name}" sends a heartbeat')
 def send_heartbeat(context, name):
-    context.peers.heard(heartbeat(name, "with less room"))
+    context.peers.record_heartbeat(heartbeat(name, "with less capacity"))
 
 
 @when(
@@ -137,7 +139,7 @@
 
 
 def ask(context):
-    """Pass a quote on, and return what it is answered."""
+    """Forward a quote, and return its answer."""
     context.asked.clear()
     declared = schema.Operation(mode=schema.Mode.QUOTE)
     deadline = context.clock.monotonic() + TIMEOUT
--- a/tests/membership/steps/membership_steps.py
+++ b/tests/membership/steps/membership_steps.py
@@ -15,7 +15,7 @@
 
 
 def counted(context, prefix):
-    """Return the sum of the counters under `prefix`, by instance."""
+    """Return the sum of the counters that start with `prefix`, by instance."""
     return {
         name: sum(
             count
@@ -38,7 +38,7 @@
 
 
 @given(
-    '{count:d} instances in "{first}" and {more:d} in "{second}" that found each other'
+    '{count:d} instances in "{first}" and {more:d} in "{second}" that reach each other'
 )
 def found(context, count, first, more, second):
     context.stage = stage.Stage()
@@ -76,14 +76,14 @@
 
 
 @given(
-    "an instance that is told of {near:d} peers at home and {far:d} in each of "
-    "{count:d} others"
+    "an instance that is told of {near:d} local peers and {far:d} in each of "
+    "{count:d} other data centres"
 )
 def told(context, near, far, count):
     context.peers = peers.Peers(
         "a", "dc0", lambda _: None, clock.SystemClock(), counters.StatsdCounters("", 0)
     )
-    context.peers.start = lambda peer: None
+    context.peers.start_heartbeats = lambda peer: None
     entries = [
         inventory.EntryInstance(f"n{i}", "dc0", "127.0.0.1:9") for i in range(near)
     ]
@@ -95,14 +95,19 @@
     context.peers.update(entries)
 
 
-@then("it beats {beaten:d} of them and knows the addresses of all {known:d}")
-def few(context, beaten, known):
-    chosen = [peer for peer in context.peers.by_name.values() if peer.beating]
-    assert len(chosen) == beaten, len(chosen)
+@then(
+    "it sends heartbeats to {recipients:d} of them and knows the addresses of all "
+    "{known:d}"
+)
+def few(context, recipients, known):
+    chosen = [
+        peer for peer in context.peers.by_name.values() if peer.receives_heartbeats
+    ]
+    assert len(chosen) == recipients, len(chosen)
     assert len(context.peers.by_name) == known
 
 
-@when('"{name}" starts cut from the platform')
+@when('"{name}" starts cut off from the platform')
 def start_cut(context, name):
     context.stage.faults(cut=[name])
     context.stage.start_instance(name, "shymkent")
@@ -113,8 +118,8 @@
     stage.wait_until(
         lambda: context.stage.call(name, "GET", "/healthz").status == 200, 10
     )
-    # It has no settings, so it can't tell callers apart: the counter is public
-    # only in its log, which has one line for each peer found.
+    # It has no settings, so it can't authenticate callers of its status. Its log has
+    # one line for each peer that it reached.
     log = context.stage.logs / f"{name}.log"
 
     def found():
@@ -124,16 +129,21 @@
     stage.wait_until(lambda: found() == others(context, name), 15, "all peers")
 
 
-@when('"{name}" is replaced and beats from "{address}"')
+@when('"{name}" is replaced and sends a heartbeat from "{address}"')
 def replaced(context, name, address):
     free = resources.Resources()
-    context.peers.heard(
+    context.peers.record_heartbeat(
         messages.Heartbeat(name, "later", "dc0", free, peer_address=address)
     )
 
 
-@then('it beats "{name}" at "{address}", and knows {count:d} peers as before')
+@then(
+    'it sends heartbeats to "{name}" at "{address}", and knows {count:d} peers as '
+    "before"
+)
 def beats_at(context, name, address, count):
     peer = context.peers.by_name[name]
-    assert (peer.listed.peer_address, peer.beating) == (address, True), peer.listed
+    assert (peer.listed.peer_address, peer.receives_heartbeats) == (address, True), (
+        peer.listed
+    )
     assert len(context.peers.by_name) == count
