--- a/src/mangosail/ownership/__init__.py
+++ b/src/mangosail/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership: which instance may give which worker work, by leases in the table."""
+"""Ownership: leases in the table that decide which instance may use which worker."""
--- a/src/mangosail/ownership/connector.py
+++ b/src/mangosail/ownership/connector.py
@@ -1,4 +1,4 @@
-"""The handles of workers, which speak to them over HTTP."""
+"""Connections to workers over HTTP."""
 
 import collections.abc as cabc
 
@@ -12,7 +12,7 @@
 
 
 class HttpConnector:
-    """Makes handles that may be used while `lease_holds`."""
+    """Creates worker handles that may be used while `lease_holds` returns True."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         self.counters = counters
 
     def connect(self, worker: inventory.Worker, generation: int) -> workers.OwnedWorker:
-        """Return the handle of a worker that was taken."""
+        """Return the handle of a worker that was acquired."""
         target = self._target(worker)
         owned = workers.OwnedWorker(worker, generation, target, self.lease_holds)
-        # Control exchanges share the worker's connections with requests.
+        # Control calls share the worker's connections with requests.
         owned.ledger.capacity -= resources.Resources(
             connections=dispatch_http.CONTROL_CONNECTIONS
         )
@@ -37,7 +37,7 @@
     def fetch_snapshot(
         self, worker: inventory.Worker
     ) -> dispatch_messages.Snapshot | None:
-        """Return what a worker that is not owned says, or None if it is silent."""
+        """Return the snapshot of a worker that is not owned, or None if unreachable."""
         return self._target(worker).snapshot(-1, 0.0).ok()
 
     def _target(self, worker: inventory.Worker) -> dispatch_http.HttpTarget:
--- a/src/mangosail/ownership/monitoring.py
+++ b/src/mangosail/ownership/monitoring.py
@@ -1,4 +1,4 @@
-"""Following the workers that this instance owns, from taking to losing them."""
+"""Monitoring of the workers that this instance owns, while it owns them."""
 
 import collections.abc as cabc
 
@@ -17,9 +17,9 @@
 
 
 class WorkerMonitors:
-    """One monitor for each owned worker; keeps its ledger in step.
+    """Runs one monitor per owned worker, and keeps the workers' ledgers up to date.
 
-    What a worker says is taken in here first, then by the `listeners`.
+    Snapshots are processed here first, then by the `listeners`.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.monitors: dict[str, monitor.Monitor] = {}
 
     def on_taken(self, owned: workers.OwnedWorker) -> None:
-        """Follow a worker that was taken, once earlier owners are fenced off."""
+        """Start monitoring an acquired worker once earlier owners are fenced off."""
         follower = monitor.Monitor(
             owned.name,
             owned.target,
@@ -50,13 +50,13 @@
         gevent.spawn(self._follow, owned, follower)
 
     def on_lost(self, owned: workers.OwnedWorker) -> None:
-        """Stop following a worker that was lost, or given up."""
+        """Stop monitoring a worker that was lost or given up."""
         follower = self.monitors.pop(owned.name, None)
         if follower is not None:
             follower.stopped = True
 
     def on_snapshot(self, worker: str, snapshot: dispatch_messages.Snapshot) -> None:
-        """Keep a worker's ledger and standing in step with what it says."""
+        """Update a worker's ledger and state from its snapshot."""
         owned = self.owned_workers.get(worker)
         if owned is None:
             return
@@ -74,7 +74,7 @@
         )
 
     def on_unreachable(self, worker: str) -> None:
-        """Send no new work to a worker that is out of reach."""
+        """Stop sending new work to a worker that is unreachable."""
         owned = self.owned_workers.get(worker)
         if owned is not None and owned.reachable:
             owned.reachable = False
--- a/src/mangosail/ownership/owners.py
+++ b/src/mangosail/ownership/owners.py
@@ -1,4 +1,4 @@
-"""Taking workers into ownership and giving them up."""
+"""Acquisition, handover and loss of workers."""
 
 import collections.abc as cabc
 import dataclasses
@@ -18,64 +18,64 @@
 
 log = logbook.Logger("ownership")
 
-#: Seconds that work in flight may take before a worker is handed over anyway.
+#: Seconds to wait for work in flight before a worker is handed over anyway.
 HANDOVER_TIMEOUT_S = 5.0
-#: Seconds for which an instance that the platform never listed must be absent
-#: from its list until it counts as gone; the list lags.
+#: Seconds for which an instance that the platform never listed must be missing from its
+#: list before it is considered gone; the list lags behind.
 ABSENCE_TIMEOUT_S = 30.0
-#: Seconds between looks at whether the quotes in flight have ended.
+#: Seconds between checks for quotes in flight.
 POLL_INTERVAL_S = 0.02
 
 
 class Listener(t.Protocol):
-    """Told of workers that come and go."""
+    """Is notified of workers that are acquired and lost."""
 
     def on_taken(self, owned: placed.OwnedWorker) -> None:
-        """Begin to follow a worker that was taken; its ledger is not ready yet."""
+        """Start monitoring an acquired worker; its ledger is not ready yet."""
 
     def on_lost(self, owned: placed.OwnedWorker) -> None:
-        """Stop following a worker that was lost, or given up."""
+        """Stop monitoring a worker that was lost or given up."""
 
 
 class WorkerConnector(t.Protocol):
-    """Makes what is needed to speak to a worker."""
+    """Connects to workers."""
 
     def connect(self, worker: inventory.Worker, generation: int) -> placed.OwnedWorker:
-        """Return the handle of a worker that was taken."""
+        """Return the handle of a worker that was acquired."""
 
     def fetch_snapshot(
         self, worker: inventory.Worker
     ) -> dispatch_messages.Snapshot | None:
-        """Return what a worker that is not owned says, or None if it is silent."""
+        """Return the snapshot of a worker that is not owned, or None if unreachable."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionedOwnerRow:
-    """An owner row as it was read."""
+    """An owner row with the version at which it was read."""
 
     row: messages.OwnerRow
     version: int
 
 
 class Absences:
-    """Since when instances have been absent from the platform's list."""
+    """Tracks how long instances have been missing from the platform's list."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
         self.present: set[str] = set()
         self.ever_listed: set[str] = set()
-        #: Monotonic time from which an absent instance counts as gone.
+        #: Monotonic time from which a missing instance is considered gone, by name.
         self.gone_from: dict[str, float] = {}
 
     def update(self, listed: cabc.Iterable[str]) -> None:
-        """Take in the names of a list that was just fetched."""
+        """Process the names in a list that was just fetched."""
         self.present = set(listed)
         self.ever_listed |= self.present
         for name in self.present:
             self.gone_from.pop(name, None)
 
     def is_gone(self, name: str) -> bool:
-        """Tell whether the platform no longer lists the instance `name`."""
+        """Return whether the platform no longer lists the instance `name`."""
         if not self.present or name in self.present:
             return False
         if name in self.ever_listed:
@@ -108,9 +108,9 @@
         self.counters = counters
         self.absences = Absences(clock)
         self.by_worker: dict[str, VersionedOwnerRow] = {}
-        #: Version of the epoch row at which `by_worker` was read.
+        #: Version of the epoch row when `by_worker` was read.
         self.epoch: int | None = None
-        #: True once a planned stop began: nothing is taken any more.
+        #: True once a planned shutdown has begun: no workers are acquired any more.
         self.releasing = False
 
     @property
@@ -121,22 +121,22 @@
     def refresh(
         self, listed: cabc.Sequence[inventory.Worker]
     ) -> result.Result[None, errors.Unavailable]:
-        """Read sessions and owners, end lapsed sessions, take what is ours to take.
+        """Read owners and sessions, end expired sessions, and acquire our share.
 
-        Owner rows are read before the sessions: a run that owns something has
-        registered before, so a session that names another run is a later one.
+        Owner rows are read before sessions: a run registers before it owns anything, so
+        a session that names a different run is of a later one.
         """
         found = self._read_owners()
         if isinstance(found, result.Err):
             self.sessions.mark_unreadable()
             return found
-        sessions = table.scan_all(self.rows, f"session/{self.data_centre}/")
-        if isinstance(sessions, result.Err):
+        session_rows = table.scan_all(self.rows, f"session/{self.data_centre}/")
+        if isinstance(session_rows, result.Err):
             self.sessions.mark_unreadable()
-            return sessions
-        self.sessions.update(sessions.ok_value)
-        for lapsed in self.sessions.expired():
-            self._end_session(lapsed)
+            return session_rows
+        self.sessions.update(session_rows.ok_value)
+        for expired in self.sessions.expired():
+            self._end_session(expired)
         self._give_up_lost()
         if not self.lease.valid() or self.releasing:
             return result.Ok(None)
@@ -144,11 +144,11 @@
         self._rebalance(listed)
         return result.Ok(None)
 
-    def give_up_all(self) -> None:
-        """Stop using every worker, after the lease was taken away for good.
+    def handle_session_loss(self) -> None:
+        """Stop using every worker, after the session was ended or replaced.
 
-        Waits for the quotes in flight: only then may a new run be registered,
-        because peers take that as the release of all that this one kept.
+        Waits for the quotes in flight before a new run is registered, because peers
+        treat the new run as the release of everything that this one retained.
         """
         self.counters.count("ownership.session_lost")
         log.warning("session lost")
@@ -159,10 +159,10 @@
         self.lease.restart()
 
     def release_all(self, deadline: float) -> result.Result[None, errors.CommitError]:
-        """Hand every worker over for a planned stop, so that peers take at once.
+        """Hand over all workers for a planned shutdown; peers can acquire them at once.
 
-        Nothing new is started from the call on. Waits until the monotonic
-        `deadline` for quotes in flight; durable work goes on where it runs.
+        Nothing new is started from now on. Waits for quotes in flight until the
+        monotonic `deadline`; durable work continues on its workers.
         """
         self.releasing = True
         given_up = list(self.owned_workers)
@@ -186,7 +186,7 @@
             self.clock.sleep(POLL_INTERVAL_S)
 
     def _read_owners(self) -> result.Result[None, errors.Unavailable]:
-        """Read the owner rows if any of them changed since the last time."""
+        """Read the owner rows if any of them has changed since the last read."""
         key = messages.epoch_key(self.data_centre)
         epochs = self.rows.read([key])
         if isinstance(epochs, result.Err):
@@ -205,12 +205,12 @@
         self.epoch = version
         return result.Ok(None)
 
-    def _end_session(self, lapsed: session_observer.ObservedSession) -> None:
-        """Mark a lapsed session ended, so that its holder can't renew it."""
-        ended = dataclasses.replace(lapsed.row, ended=True)
+    def _end_session(self, expired: session_observer.ObservedSession) -> None:
+        """Mark an expired session as ended, so that its holder can't renew it."""
+        ended = dataclasses.replace(expired.row, ended=True)
         key = messages.session_key(ended.data_centre, ended.instance)
         transaction = table.Transaction(
-            checks=(table.Check(key, lapsed.version),),
+            checks=(table.Check(key, expired.version),),
             writes=(table.Write(key, codec.to_json(ended)),),
         )
         if isinstance(self.rows.commit(transaction), result.Ok):
@@ -232,11 +232,11 @@
         log.info("worker given up", worker=owned.name, why=reason)
 
     def _reclaim_retained(self) -> None:
-        """Use again what earlier owners kept, once they are known to be gone.
+        """Reclaim what earlier owners retained, once they are known to have stopped.
 
-        The row is written first: were this instance to lapse in between, the
-        next taker must not compute its share from a larger promise than it
-        used.
+        The row is written first: if this instance's lease expired in between, the next
+        owner would otherwise assume that more was withheld from this one than was, and
+        so underestimate what it retains.
         """
         for owned in self.owned_workers:
             known = self.by_worker.get(owned.name)
@@ -249,9 +249,9 @@
             snapshot = self.connector.fetch_snapshot(owned.worker)
             if snapshot is None:
                 continue
-            # A run that is gone can have left quotes that are still running,
-            # begun since the last list; they must be seen before its promise
-            # ends, or their room would be given twice.
+            # A stopped run may have left running quotes that were started after the
+            # last snapshot. They must be in the ledger before its budget is reclaimed,
+            # or their capacity would be used twice.
             owned.ledger.follow(takeover.running_reports(snapshot), owned.generation)
             row = dataclasses.replace(known.row, retained=left)
             if isinstance(self._write(row, known), result.Ok):
@@ -266,7 +266,7 @@
         )
 
     def _has_stopped(self, instance: str, incarnation: str) -> bool:
-        """Tell whether this run certainly starts nothing any more."""
+        """Return whether this run is certain not to start anything any more."""
         if self.sessions.has_stopped(instance, incarnation):
             return True
         return self.absences.is_gone(instance)
@@ -302,11 +302,11 @@
     def _keep_or_hand_over(
         self, worker: inventory.Worker, known: VersionedOwnerRow, ours: bool
     ) -> None:
-        """Go on with a worker that is owned, or hand it over to whose share it is."""
+        """Keep an owned worker, or hand it over to the instance whose share it is."""
         owned = self.owned_workers.get(worker.name)
         if owned is None:
-            # The answer to our claim was lost after the write had taken effect;
-            # without this nobody would ever use the worker.
+            # The answer to our claim was lost after the write had taken effect. Without
+            # this, no instance would ever use the worker.
             self.counters.count("ownership.claim_recovered")
             self._adopt(worker, known.row)
             return
@@ -319,7 +319,7 @@
         if owned.ledger.reserved and not over:
             return
         if owned.ledger.idempotent:
-            # Quotes are bounded by their deadlines; they are never cut off.
+            # Quotes end by their deadlines and are never interrupted.
             return
         self._give_up(owned, "ownership.handed_over")
         row = dataclasses.replace(known.row, instance="", incarnation="")
@@ -343,7 +343,7 @@
     def _retained_after(
         self, worker: inventory.Worker, previous: messages.OwnerRow
     ) -> tuple[messages.Retention, ...]:
-        """Return what the earlier owners may go on using after we take over."""
+        """Return what earlier owners may continue to use after we take over."""
         left = self._still_retained(previous)
         if not previous.instance:
             return left
@@ -351,8 +351,8 @@
             return left
         snapshot = self.connector.fetch_snapshot(worker)
         reports = takeover.running_reports(snapshot) if snapshot else None
-        # All that the earlier row promised counts, also what has ended since:
-        # the owner may not have known that when it lapsed.
+        # Everything withheld for owners before it counts, even what has ended since:
+        # the previous owner may not have known that when its lease expired.
         kept = takeover.retention_of(previous, worker.capacity, reports)
         if kept.budget == resources.Resources():
             return left
@@ -361,7 +361,7 @@
     def _write(
         self, row: messages.OwnerRow, known: VersionedOwnerRow
     ) -> result.Result[int, errors.CommitError]:
-        """Write an owner row over the one that was read, and move the epoch on."""
+        """Replace the owner row that was read, and advance the epoch."""
         key = messages.owner_key(self.data_centre, row.worker)
         epoch = messages.epoch_key(self.data_centre)
         transaction = table.Transaction(
--- a/src/mangosail/ownership/session.py
+++ b/src/mangosail/ownership/session.py
@@ -1,4 +1,4 @@
-"""The session of this instance: one row whose renewal keeps all its leases."""
+"""The session of this instance: one table row whose renewal extends all its leases."""
 
 import dataclasses
 import secrets
@@ -10,7 +10,7 @@
 from mangosail.ownership import messages
 from mangosail.platform import errors, table
 
-#: Seconds for which a renewal holds, counted from before it was sent.
+#: Duration of the lease in seconds, counted from just before a renewal is sent.
 LEASE_DURATION_S = 3.0
 #: Seconds between renewals.
 RENEWAL_INTERVAL_S = 1.0
@@ -19,7 +19,7 @@
 def new_session_row(
     instance: str, data_centre: str, peer_address: str
 ) -> messages.SessionRow:
-    """Return the row of a new run of `instance`, before its first renewal."""
+    """Return the session row of a new run of `instance`, before its first renewal."""
     return messages.SessionRow(
         instance, secrets.token_hex(8), data_centre, peer_address, 0.0
     )
@@ -28,8 +28,8 @@
 class Session:
     """This run's lease in the table.
 
-    The holder counts its term from before the renewal was sent, others from
-    when they saw it, so that the holder's view of the lease always ends first.
+    The holder counts the lease from before the renewal was sent, others from when they
+    saw it, so the lease always expires first from the holder's point of view.
     """
 
     def __init__(
@@ -44,32 +44,32 @@
         self.row = row
         self.lease_duration = lease_duration
         self.version: int | None = None
-        #: Monotonic time at which the lease ends; 0 before the first renewal.
+        #: Monotonic time at which the lease expires; 0 before the first renewal.
         self.deadline = 0.0
-        #: True if the table was out of reach at the latest renewal.
+        #: True if the table was unreachable at the latest renewal.
         self.table_unreachable = False
-        #: True after a planned stop: the row is never written again.
+        #: True after a planned shutdown: the row is never written again.
         self.closed = False
 
     @property
     def key(self) -> str:
-        """Return the key of the session's row."""
+        """Return the key of the session row."""
         return messages.session_key(self.row.data_centre, self.row.instance)
 
     def valid(self) -> bool:
-        """Tell whether the lease holds now; ask before each side effect."""
+        """Return whether the lease is valid now; check before each side effect."""
         return self.clock.monotonic() < self.deadline
 
     def may_claim(self) -> bool:
-        """Tell whether workers may be taken, now or once the lease is renewed."""
+        """Return whether workers may be acquired, now or once the lease is renewed."""
         return self.valid() or not self.table_unreachable
 
     def start_deadline(self) -> float:
-        """Return the wall time until which a start sent now may begin.
+        """Return the wall time until which a worker may act on a start sent now.
 
-        A process can be frozen between its check of the lease and the send;
-        the worker then refuses the start. 0 means that the lease has lapsed:
-        such a start counts against what was kept and needs no deadline.
+        The process may be frozen between checking the lease and sending; the worker
+        then refuses the start. 0 means that the lease has expired: such a start uses
+        only the retained budget, and needs no deadline.
         """
         left = self.deadline - self.clock.monotonic()
         if left <= 0:
@@ -77,14 +77,14 @@
         return self.clock.wall() + left
 
     def restart(self) -> None:
-        """Become a new run; call only after all that was held is given up."""
+        """Start a new run; call only after everything owned was given up."""
         incarnation = secrets.token_hex(8)
         self.row = dataclasses.replace(self.row, incarnation=incarnation)
         self.version = None
         self.deadline = 0.0
 
     def open(self) -> result.Result[None, errors.CommitError]:
-        """Write the row for the first time, over that of an earlier run."""
+        """Write the row for the first time, replacing that of an earlier run."""
         found = self.rows.read([self.key])
         if isinstance(found, result.Err):
             return found
@@ -92,7 +92,7 @@
         return self._write(earlier.version if earlier else table.ABSENT)
 
     def renew(self) -> result.Result[None, errors.CommitError]:
-        """Move the lease on; `Conflict` means that it was taken away for good."""
+        """Extend the lease; `Conflict` means that the session was ended or replaced."""
         renewed = self._renew()
         self.table_unreachable = isinstance(renewed, result.Err) and not isinstance(
             renewed.err_value, errors.Conflict
@@ -112,7 +112,7 @@
         return renewed
 
     def release(self) -> result.Result[None, errors.CommitError]:
-        """End the session for good, once nothing that it held is used any more."""
+        """End the session, once nothing that it owned is in use any more."""
         self.closed = True
         self.deadline = 0.0
         if self.version is None:
@@ -127,10 +127,10 @@
     def _resolve_conflict(
         self, conflict: errors.Conflict
     ) -> result.Result[None, errors.CommitError]:
-        """Tell a lost answer of our own from a lease that was taken away.
+        """Distinguish a lost answer to our own renewal from the loss of the session.
 
-        A renewal whose answer was lost has moved the version on; the next one
-        then conflicts with ourselves. The row still carries our incarnation.
+        A renewal whose answer was lost has changed the version, so that the next one
+        conflicts with it. In that case the row still has our incarnation.
         """
         found = self.rows.read([self.key])
         if isinstance(found, result.Err):
--- a/src/mangosail/ownership/session_observer.py
+++ b/src/mangosail/ownership/session_observer.py
@@ -1,4 +1,4 @@
-"""How long other instances' session rows have gone unchanged, by our own clock."""
+"""Detects expired sessions by how long their rows have not changed on our own clock."""
 
 import collections.abc as cabc
 import dataclasses
@@ -8,13 +8,14 @@
 from mangosail.ownership import messages
 from mangosail.platform import table
 
-#: Seconds past the term before a session is found lapsed: clocks' rates differ.
+#: Seconds after the lease duration before a session is considered expired, because
+#: clocks run at different rates.
 CLOCK_RATE_MARGIN_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedSession:
-    """A session row, and the monotonic time past which it has lapsed."""
+    """A session row, and the monotonic time from which it is considered expired."""
 
     row: messages.SessionRow
     version: int
@@ -22,45 +23,49 @@
 
 
 class SessionObserver:
-    """The sessions of a data centre as this instance has seen them."""
+    """The sessions of a data centre as observed by this instance."""
 
     def __init__(self, clock: clocks.Clock, lease_duration: float) -> None:
         self.clock = clock
         self.lease_duration = lease_duration
         self.by_instance: dict[str, ObservedSession] = {}
-        #: True since a look failed, until the next one.
+        #: True from a failed read until the next successful one.
         self.missed_read = False
 
     def mark_unreadable(self) -> None:
-        """Note that the rows could not be read.
+        """Record that the rows could not be read.
 
-        While the table is out no holder can renew either. Rows that have not
-        changed meanwhile must be watched for a whole term again: else whoever
-        looks first after an outage would end everybody's lease.
+        During an outage of the table no holder can renew its lease either. Rows that
+        have not changed meanwhile must be observed for a full lease duration again:
+        otherwise the first instance to read after the outage would end every session.
         """
         self.missed_read = True
 
     def update(self, rows: cabc.Iterable[table.Row]) -> None:
-        """Take in what a scan of the sessions returned."""
-        seen: dict[str, ObservedSession] = {}
+        """Process the result of a scan of the session rows."""
+        observed: dict[str, ObservedSession] = {}
         for row in rows:
             session = codec.from_json(row.value, messages.SessionRow)
             known = self.by_instance.get(session.instance)
             unchanged = known is not None and known.version == row.version
             if known is not None and unchanged and not self.missed_read:
-                seen[session.instance] = known
+                observed[session.instance] = known
                 continue
-            lapse = self.clock.monotonic() + self.lease_duration + CLOCK_RATE_MARGIN_S
-            seen[session.instance] = ObservedSession(session, row.version, lapse)
-        self.by_instance = seen
+            expires_at = (
+                self.clock.monotonic() + self.lease_duration + CLOCK_RATE_MARGIN_S
+            )
+            observed[session.instance] = ObservedSession(
+                session, row.version, expires_at
+            )
+        self.by_instance = observed
         self.missed_read = False
 
     def live(self) -> list[messages.SessionRow]:
-        """Return the sessions that have not lapsed."""
+        """Return the sessions that have not expired."""
         return [s.row for s in self.by_instance.values() if not self._has_expired(s)]
 
     def expired(self) -> list[ObservedSession]:
-        """Return the sessions that have lapsed and are not marked ended."""
+        """Return the sessions that have expired but are not marked as ended."""
         return [
             s
             for s in self.by_instance.values()
@@ -68,27 +73,27 @@
         ]
 
     def may_hold_leases(self, instance: str, incarnation: str) -> bool:
-        """Tell whether this run of `instance` may still hold leases."""
-        sighting = self.by_instance.get(instance)
-        if sighting is None or sighting.row.incarnation != incarnation:
+        """Return whether this run of `instance` may still hold leases."""
+        observed = self.by_instance.get(instance)
+        if observed is None or observed.row.incarnation != incarnation:
             return False
-        return not sighting.row.ended
+        return not observed.row.ended
 
     def has_stopped(self, instance: str, incarnation: str) -> bool:
-        """Tell whether this run of `instance` has stopped for certain.
+        """Return whether this run of `instance` is certain to have stopped.
 
-        It released all it held, or a later run of the name is registered,
-        which happens only once the earlier one is dead or has given all up.
+        Either it has released everything, or a later run is registered, which happens
+        only once the earlier one is dead or has given up everything.
         """
-        sighting = self.by_instance.get(instance)
-        if sighting is None:
+        observed = self.by_instance.get(instance)
+        if observed is None:
             return False
-        return sighting.row.incarnation != incarnation or sighting.row.released
+        return observed.row.incarnation != incarnation or observed.row.released
 
     def active_incarnations(self) -> set[str]:
-        """Return the runs of instances that may still hold leases."""
-        rows = [sighting.row for sighting in self.by_instance.values()]
+        """Return the incarnations of runs that may still hold leases."""
+        rows = [observed.row for observed in self.by_instance.values()]
         return {row.incarnation for row in rows if not row.ended}
 
-    def _has_expired(self, sighting: ObservedSession) -> bool:
-        return sighting.row.ended or self.clock.monotonic() >= sighting.expires_at
+    def _has_expired(self, observed: ObservedSession) -> bool:
+        return observed.row.ended or self.clock.monotonic() >= observed.expires_at
--- a/src/mangosail/ownership/shares.py
+++ b/src/mangosail/ownership/shares.py
@@ -1,4 +1,4 @@
-"""Which instance should own which worker, computed alike by all."""
+"""Assignment of workers to instances, which all instances compute identically."""
 
 import collections.abc as cabc
 import hashlib
@@ -6,7 +6,7 @@
 
 
 def score(worker: str, instance: str) -> int:
-    """Return the rendezvous score of the pair."""
+    """Return the rendezvous hashing score of the pair."""
     digest = hashlib.blake2b(f"{worker}|{instance}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
@@ -14,9 +14,9 @@
 def assign(
     workers: cabc.Iterable[str], instances: cabc.Iterable[str]
 ) -> dict[str, str]:
-    """Return each worker's instance: the best score that has room left.
+    """Return each worker's instance: the one with the best score that has space left.
 
-    No instance gets more than its even share, rounded up::
+    No instance gets more than an equal share, rounded up::
 
         >>> assign(["w1"], ["a"])
         {'w1': 'a'}
@@ -25,11 +25,11 @@
     holders = sorted(instances)
     if not holders:
         return {}
-    room = dict.fromkeys(holders, math.ceil(len(names) / len(holders)))
+    free_slots = dict.fromkeys(holders, math.ceil(len(names) / len(holders)))
     assigned: dict[str, str] = {}
     for worker in names:
-        open_to = [holder for holder in holders if room[holder] > 0]
-        best = max(open_to, key=lambda holder: score(worker, holder))
-        room[best] -= 1
+        candidates = [holder for holder in holders if free_slots[holder] > 0]
+        best = max(candidates, key=lambda holder: score(worker, holder))
+        free_slots[best] -= 1
         assigned[worker] = best
     return assigned
--- a/src/mangosail/ownership/takeover.py
+++ b/src/mangosail/ownership/takeover.py
@@ -1,4 +1,4 @@
-"""What a taker asks of a worker itself, before and after it claims it."""
+"""Steps of taking over a worker: retained budget of the previous owner, and fencing."""
 
 import collections.abc as cabc
 
@@ -14,14 +14,14 @@
 
 #: Seconds between attempts to fence a worker that does not answer.
 RETRY_INTERVAL_S = 0.2
-#: Seconds that one attempt may take.
+#: Timeout in seconds of one attempt.
 FENCE_TIMEOUT_S = 1.0
 
 
 def running_reports(
     snapshot: dispatch_messages.Snapshot,
 ) -> list[dispatch_messages.Report]:
-    """Return the reports of tasks that run."""
+    """Return the reports of running tasks."""
     state = dispatch_messages.TaskState.RUNNING
     return [report for report in snapshot.tasks if report.state is state]
 
@@ -31,11 +31,10 @@
     capacity: resources.Resources,
     reports: cabc.Iterable[dispatch_messages.Report] | None,
 ) -> messages.Retention:
-    """Return the most that the owner of `previous` may have kept at its lapse.
+    """Return an upper bound of what the owner of `previous` retained at lease expiry.
 
-    `reports` is the worker's list of running tasks, read after the lapse, or
-    None if it did not answer; then the bound is that of a worker without
-    durable work.
+    `reports` lists the worker's running tasks, read after the expiry. If it is None
+    because the worker did not answer, the bound assumes that there is no durable work.
     """
     durable = [r.needs for r in reports or () if not r.idempotent]
     promised = sum(previous.retained_budgets().values(), resources.Resources())
@@ -50,14 +49,14 @@
 def fence(
     owned: workers.OwnedWorker, clock: clocks.Clock, counters: telemetry.Counters
 ) -> bool:
-    """Make the worker refuse durable starts of earlier owners from now on.
+    """Make the worker refuse durable starts from earlier owners from now on.
 
-    Without this, a start that an earlier owner sent before its lapse could
-    arrive after the ledger was rebuilt. Returns False if ownership ended first.
+    Otherwise a start that an earlier owner sent before its lease expired could arrive
+    after the ledger was rebuilt. Returns False if our ownership ended first.
     """
     while not owned.ledger.closed:
         deadline = clock.monotonic() + FENCE_TIMEOUT_S
-        # A lease deadline of 0 moves no task's lease.
+        # A lease deadline of 0 extends no task's lease.
         answer = owned.target.renew(0.0, owned.generation, deadline)
         if isinstance(answer, result.Ok):
             return True
--- a/src/mangosail/upkeep.py
+++ b/src/mangosail/upkeep.py
@@ -1,4 +1,4 @@
-"""What an instance does again and again while it serves."""
+"""Periodic tasks of a running instance."""
 
 import collections.abc as cabc
 
@@ -17,19 +17,19 @@
 
 log = logbook.Logger("upkeep")
 
-#: What a peer must have free for an instance without workers to be ready.
+#: Free capacity that a peer must report for an instance without workers to be ready.
 MIN_PEER_CAPACITY = resources.Resources(slots=1)
 
 
 class PeriodicTasks:
-    """Tasks that repeat a step each, for as long as the process runs."""
+    """Greenlets that each repeat a step for as long as the process runs."""
 
     def __init__(self, clock: clocks.Clock, counters: telemetry.Counters) -> None:
         self.clock = clock
         self.counters = counters
 
     def start(self, step: cabc.Callable[[], object], interval: float) -> None:
-        """Take `step` now and again, `interval` seconds after each end of it."""
+        """Run `step` now, and again `interval` seconds after each time it has ended."""
         gevent.spawn(self._forever, step, interval)
 
     def _forever(self, step: cabc.Callable[[], object], interval: float) -> None:
@@ -37,15 +37,15 @@
             try:
                 step()
             except Exception:
-                # A fault in one round must not end the task that renews the
-                # lease or reads the table; it is counted and tried again.
+                # An exception in one step must not end the greenlet that renews the
+                # lease or reads the table; it is counted, and the step is repeated.
                 self.counters.count("instance.step_failed")
                 log.exception("step failed")
             self.clock.sleep(interval)
 
 
 class Upkeep:
-    """Keeps ownership, peers and readiness in step with table and list."""
+    """Keeps ownership, peers and readiness in sync with the table and the list."""
 
     def __init__(
         self,
@@ -62,15 +62,15 @@
         self.front = front
 
     def renew(self) -> None:
-        """Renew the lease; give all workers up if it was taken away."""
+        """Renew the lease; give up all workers if the session was lost."""
         renewed = self.owners.lease.renew()
         if isinstance(renewed, result.Err) and isinstance(
             renewed.err_value, errors.Conflict
         ):
-            self.owners.give_up_all()
+            self.owners.handle_session_loss()
 
     def refresh(self) -> None:
-        """Read the platform's list, then take and give up workers by it."""
+        """Read the platform's list, then acquire and give up workers accordingly."""
         if self.listed.refresh():
             self.peers.update(self.listed.listing.instances)
             self.owners.absences.update(self.listed.present())
@@ -81,17 +81,17 @@
         self.front.ready = bool(self.front.settings.by_team) and self._can_serve()
 
     def _can_serve(self) -> bool:
-        """Tell whether own workers, or else a peer's, take new work.
+        """Return whether own workers, or else a peer, accept new work.
 
-        Where there are more instances than workers, some own none: they pass
-        on what callers send them.
+        If there are more instances than workers, some own none and forward their
+        requests.
         """
         if any(owned.accepts() for owned in self.owned_workers):
             return True
         return bool(self.peers.with_capacity(MIN_PEER_CAPACITY, self.peers.data_centre))
 
     def _mark_leaving(self) -> None:
-        """Give workers that the platform lists as leaving no new work."""
+        """Stop sending new work to workers that the platform lists as leaving."""
         for worker in self.listed.leaving():
             owned = self.owned_workers.get(worker.name)
             if owned is not None:
--- a/tests/ownership/shares_machine.py
+++ b/tests/ownership/shares_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of owners of one worker, held against the worker's own sum."""
+"""A state machine of the owners of one worker, checked against the worker's load."""
 
 import random
 
@@ -34,9 +34,9 @@
 class OwnersOfOneWorker(stateful.RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.running = {}  # task id -> report: the worker's own truth
+        self.running = {}  # task id -> report: the actual load of the worker
         self.fenced = 0
-        self.in_transit = []  # (holder, report) of durable starts on their way
+        self.in_transit = []  # reports of durable starts that have not arrived yet
         self.released = set()
         self.count = 0
         self.holders = [Holder(1)]
--- a/tests/ownership/steps/ownership_steps.py
+++ b/tests/ownership/steps/ownership_steps.py
@@ -11,7 +11,7 @@
 FULL = {"cpus": 0.0, "memory_gb": 0.0, "accelerators": 0, "slots": 0, "connections": 0}
 
 
-@then("no order of events gives the worker more than it can carry")
+@then("no sequence of events exceeds the worker's capacity")
 def run_machine(context):
     stateful.run_state_machine_as_test(
         shares_machine.OwnersOfOneWorker,
@@ -47,7 +47,7 @@
 
 
 def cut_pair(context, first, second):
-    """Let the two see each other through relays, so that they can be parted."""
+    """Connect the two instances through relays, so that they can be disconnected."""
     context.relays = {
         name: relay.Relay(context.stage.peer_addresses[name])
         for name in (first, second)
@@ -59,7 +59,7 @@
     )  # fmt: skip
 
 
-@given("a stage of 3 instances and 3 workers whose first pair is cut")
+@given("a stage of 3 instances and 3 workers, the first two instances disconnected")
 def stage_with_pair(context):
     small_stage(context, cut_first_pair=True)
     stage.wait_until(
@@ -110,8 +110,8 @@
     }
 
 
-def pick(context):
-    """Choose the worker of the scenario, and who owns it."""
+def choose_worker(context):
+    """Choose the worker of the scenario, and record its owner."""
     context.worker = min(owners(context))
     context.old = owners(context)[context.worker]
 
@@ -122,7 +122,7 @@
 
 @when("the owner of a worker is killed")
 def kill_owner(context):
-    pick(context)
+    choose_worker(context)
     context.stage.kill(context.old[0])
 
 
@@ -136,46 +136,46 @@
 def unlist(context):
     name = context.old[0]
     new = owners(context)[context.worker][0]
-    assert promised(context, new) != [], "nothing was kept back"
+    assert withheld(context, new) != [], "nothing is withheld for the killed owner"
     stage.call(context.stage.platform, "DELETE", f"/inventory/instances/{name}")
     context.stage.instances.pop(name)
 
 
-def promised(context, name):
-    """Return what `name` keeps back of its workers for earlier owners."""
+def withheld(context, name):
+    """Return what `name` withholds on its workers for earlier owners."""
     workers = status(context, name)["workers"]
     return [w["withheld"] for w in workers if w["withheld"] != FULL]
 
 
 @then("its new owner uses the whole worker within {seconds:d} seconds")
-def whole_again(context, seconds):
+def whole_worker_used(context, seconds):
     new = owners(context)[context.worker][0]
-    stage.wait_until(lambda: promised(context, new) == [], seconds, "all of it used")
+    stage.wait_until(lambda: withheld(context, new) == [], seconds, "nothing withheld")
 
 
-@then("every worker is whole again within {seconds:d} seconds")
+@then("every worker is fully usable again within {seconds:d} seconds")
 def all_whole(context, seconds):
     def whole():
-        return all(promised(context, name) == [] for name in context.stage.instances)
+        return all(withheld(context, name) == [] for name in context.stage.instances)
 
-    stage.wait_until(whole, seconds, "all workers whole")
+    stage.wait_until(whole, seconds, "nothing withheld on any worker")
 
 
-@then("no worker was ever given more than it can carry")
+@then("no worker's capacity was ever exceeded")
 def within_capacity(context):
     for worker, address in context.stage.workers.items():
-        told = stage.call(address, "GET", "/log").json()
-        guarded = [e for e in told["log"] if e["event"] == "guard"]
+        guard_log = stage.call(address, "GET", "/log").json()
+        guarded = [e for e in guard_log["log"] if e["event"] == "guard"]
         assert not guarded, (worker, guarded[:3], len(guarded))
-        for part, most in told["most"].items():
-            assert most <= told["capacity"][part], (worker, part, most)
+        for part, most in guard_log["most"].items():
+            assert most <= guard_log["capacity"][part], (worker, part, most)
     for name in context.stage.instances:
         assert context.stage.processes[name].poll() is None, f"{name} has aborted"
 
 
-@when("the owner of a worker is frozen until another has taken it")
+@when("the owner of a worker is frozen until another has acquired it")
 def freeze_owner(context):
-    pick(context)
+    choose_worker(context)
     context.stage.freeze(context.old[0])
     stage.wait_until(lambda: taken(context), 10, "another owner")
     context.taken_at = time.time()
@@ -196,8 +196,8 @@
     assert not late, late
 
 
-@then("it joins again within {seconds:d} seconds")
-def joins_again(context, seconds):
+@then("it rejoins within {seconds:d} seconds")
+def rejoins(context, seconds):
     name, incarnation, _ = context.old
 
     def joined():
@@ -215,14 +215,14 @@
     )
 
 
-@when("the owner of a worker is cut from the platform until another took it")
+@when("the owner of a worker is cut off from the platform until another acquired it")
 def cut_owner(context):
-    pick(context)
+    choose_worker(context)
     context.stage.faults(cut=[context.old[0]])
     stage.wait_until(lambda: taken(context), 12, "another owner")
 
 
-@then("quotes at the cut instance are answered by its own workers")
+@then("quotes at the cut-off instance are answered by its own workers")
 def cut_answers(context):
     name = context.old[0]
     context.load.stop()
@@ -248,31 +248,31 @@
     }
 
 
-@when("the cut is healed")
+@when("the connection is restored")
 def heal(context):
     context.stage.faults(cut=[])
 
 
-def wait_for_lapse(context):
-    def lapsed():
+def wait_for_expiry(context):
+    def expired():
         names = context.stage.instances
         return not any(status(context, name)["lease_holds"] for name in names)
 
-    stage.wait_until(lapsed, 10, "every lease lapsed")
+    stage.wait_until(expired, 10, "every lease expired")
 
 
-@when("the table is down until every lease has lapsed")
+@when("the table is down until every lease has expired")
 def table_down(context):
     context.before = owners(context)
     context.stage.faults(table="down")
-    wait_for_lapse(context)
+    wait_for_expiry(context)
 
 
-@when("every instance is cut from the platform until every lease has lapsed")
+@when("every instance is cut off from the platform until every lease has expired")
 def all_cut(context):
     context.before = owners(context)
     context.stage.faults(cut=list(context.stage.instances))
-    wait_for_lapse(context)
+    wait_for_expiry(context)
 
 
 @then("quotes are answered at every instance")
@@ -299,7 +299,7 @@
         assert answer.status == 503 and answer.json()["title"] == reason, answer
 
 
-@then("a new watch is told its events to the last at every instance")
+@then("a new watch receives all its events at every instance")
 def new_watches(context):
     headers = teams.bearer("fuel-desk-token")
     for name in context.stage.instances:
@@ -338,11 +338,11 @@
     assert owners(context) == context.before
 
 
-@when("the pair has been unreachable for longer than the lease")
+@when("the pair has been disconnected for longer than the lease")
 def pair_apart(context):
     context.before = owners(context)
     stage.wait_until(
         lambda: reachable(context, "i0") == reachable(context, "i1") == {"i2"},
         15,
-        "the pair parted",
+        "the pair disconnected",
     )
--- a/tests/ownership/steps/table_steps.py
+++ b/tests/ownership/steps/table_steps.py
@@ -16,7 +16,7 @@
 
 
 class Party:
-    """One instance: its owners and lease over a shared table."""
+    """One instance: its `Owners` and session, on a shared table."""
 
     def __init__(self, name, rows, clock):
         self.clock = clock
@@ -49,7 +49,7 @@
     def on_lost(self, owned):
         self.lost.append(owned.name)
 
-    def look(self):
+    def refresh(self):
         self.lease.renew()
         self.owners.refresh([WORKER])
         return self.workers.get("w")
@@ -64,8 +64,8 @@
     context.b = Party("b", context.rows, context.clock)
 
 
-@when('"a" takes the worker and the answer is lost')
-def take_unheard(context):
+@when('"a" claims the worker and the answer is lost')
+def claim_answer_lost(context):
     context.a.lease.renew()
     context.world.table_fault = "lost"
     context.a.owners.refresh([WORKER])
@@ -74,48 +74,48 @@
     assert row["instance"] == "a"
 
 
-@then('"a" uses the worker at its next look')
-def uses(context):
-    assert context.a.look().generation == 1
+@then('"a" uses the worker after its next refresh')
+def uses_after_refresh(context):
+    assert context.a.refresh().generation == 1
 
 
-@when('"a" takes the worker and releases all')
+@when('"a" claims the worker and releases everything')
 def release_all(context):
-    assert context.a.look()
+    assert context.a.refresh()
     context.a.owners.release_all(context.clock.now + 5)
     assert context.a.workers.get("w") is None and context.a.lost == ["w"]
 
 
-@then('"b" has the whole worker at its next look')
+@then('"b" has the whole worker after its next refresh')
 def whole(context):
-    owned = context.b.look()
+    owned = context.b.refresh()
     assert owned.ledger.free(durable=False) == WORKER.capacity, owned.ledger.promised
 
 
-@when('"a" takes the worker and its session lapses with 2 slots of durable work')
-def lapse(context):
+@when('"a" claims the worker and its session expires with 2 slots of durable work')
+def session_expires(context):
     needs = resources.Resources(slots=2)
-    assert context.a.look().ledger.reserve("t", needs)
+    assert context.a.refresh().ledger.reserve("t", needs)
     report = dispatch_messages.Report(
         "t", 1, dispatch_messages.TaskState.RUNNING, needs=needs, owner_generation=1
     )
     context.b.snapshot = dispatch_messages.Snapshot(1, (report,))
-    context.b.look()
+    context.b.refresh()
     context.clock.now += 4
     assert context.a.workers.get("w").ledger.free(durable=False).slots == 3
 
 
-@then('"b" takes it and keeps 3 slots back')
-def keeps_back(context):
-    context.b.look()
-    # The session is found lapsed in one round and its workers taken in the next.
-    assert context.b.look().ledger.withheld().slots == 3
+@then('"b" claims it and withholds 3 slots')
+def withholds(context):
+    context.b.refresh()
+    # The session is ended in one refresh, and its workers are claimed in the next.
+    assert context.b.refresh().ledger.withheld().slots == 3
 
 
-@when('"a" is registered again but the table fails "b" in writing')
+@when('"a" is registered again but writes by "b" fail')
 def registered(context):
     context.a.lease.renew()
-    context.a.owners.give_up_all()
+    context.a.owners.handle_session_loss()
     context.a.lease.renew()
     context.commit, context.rows.commit = context.rows.commit, fail
     context.b.owners.refresh([WORKER])
@@ -125,19 +125,19 @@
     return owners.result.Err(owners.errors.Unavailable("down"))
 
 
-@then('"b" still keeps 3 slots back')
-def still(context):
+@then('"b" still withholds 3 slots')
+def still_withholds(context):
     assert context.b.workers.get("w").ledger.withheld().slots == 3
 
 
-@when("the table takes writes again")
+@when("the table accepts writes again")
 def writes_again(context):
     context.rows.commit = context.commit
 
 
-@when('"a" takes the worker and the table fails all for longer than the lease')
+@when('"a" claims the worker and the table is down for longer than the lease')
 def fail_all(context):
-    assert context.a.look()
+    assert context.a.refresh()
     context.b.owners.refresh([WORKER])
     context.world.table_fault = "down"
     for _ in range(5):
@@ -147,8 +147,8 @@
     context.world.table_fault = ""
 
 
-@then('"b" looks first and "a" is still whole after its renewal')
+@then('"b" refreshes first and "a" still has the whole worker after its renewal')
 def still_whole(context):
     context.b.owners.refresh([WORKER])
-    assert context.a.look().ledger.free() == WORKER.capacity
+    assert context.a.refresh().ledger.free() == WORKER.capacity
     assert context.a.lease.row.incarnation == "a-1"
--- a/tests/soak/mutations.py
+++ b/tests/soak/mutations.py
@@ -46,7 +46,7 @@
         ("work", "ownership", "soak"),
     ),
     Mutation(
-        "incarnation check in Session._settle",
+        "incarnation check in Session._resolve_conflict",
         "ownership/session.py",
         "present.ended or present.incarnation != self.row.incarnation",
         "present.ended",
@@ -103,9 +103,9 @@
     ),
     Mutation(
         "margin for clocks' rates",
-        "ownership/sightings.py",
-        "RATE_MARGIN = 0.25",
-        "RATE_MARGIN = -2.5",
+        "ownership/session_observer.py",
+        "CLOCK_RATE_MARGIN_S = 0.25",
+        "CLOCK_RATE_MARGIN_S = -2.5",
         ("ownership", "soak"),
     ),
     Mutation(
