--- a/src/mangosail/front/app.py
+++ b/src/mangosail/front/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application: which resource answers which path, and errors' form."""
+"""The HTTP application: routes, and the format of error responses."""
 
 import re
 import typing as t
@@ -21,9 +21,9 @@
 
 log = logbook.Logger("front")
 
-#: What a reason looks like; other titles are falcon's own, in prose.
+#: Matches our own reasons; any other title is one of Falcon's, in prose.
 REASON_PATTERN = re.compile("[a-z][a-z0-9_]*")
-#: Reasons of falcon's own errors, by status.
+#: Reasons for errors that Falcon raises itself, by status code.
 FALCON_REASONS = {404: "unknown_route", 405: "wrong_method", 400: "malformed"}
 
 
@@ -62,7 +62,7 @@
         error: falcon.HTTPError,
         params: dict[str, t.Any],
     ) -> None:
-        """Answer a request that was refused before anything was done for it."""
+        """Respond to a request that was rejected before any work was done for it."""
         reason = reason_of(error)
         self.front.counters.count(f"front.refused.{reason}")
         resp.status = error.status
@@ -77,9 +77,9 @@
         error: Exception,
         params: dict[str, t.Any],
     ) -> None:
-        """Answer a request during which the program failed.
+        """Respond to a request whose handling raised an unexpected exception.
 
-        How far the request came is not known here, so its outcome is not either.
+        How far the request got is not known here, so its outcome is ``unknown``.
         """
         self.front.counters.count("front.internal_error")
         log.exception("request failed", path=req.path)
@@ -102,7 +102,7 @@
 
 
 def reason_of(error: falcon.HTTPError) -> str:
-    """Return the reason that an error's title, or else its status, stands for."""
+    """Return the reason given by an error's title, or else by its status."""
     if error.title and REASON_PATTERN.fullmatch(error.title):
         return error.title
     return FALCON_REASONS.get(error.status_code, f"status_{error.status_code}")
--- a/src/mangosail/front/attempts.py
+++ b/src/mangosail/front/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts of idempotent requests on workers, and how surely each has ended.
+"""Attempts at idempotent requests on workers, tracked until they have terminated.
 
-A request may be tried on several workers, one after the other or at a time. Each
-attempt has its own task id and its own reservation, which is given back only when
-the task certainly doesn't run any more, so the ledger never understates the load.
+A request may be tried on several workers, sequentially or concurrently. Each attempt
+has its own task id and its own reservation, which is released only once the task is
+known not to be running any more, so the ledger never understates the load.
 """
 
 import dataclasses
@@ -27,12 +27,13 @@
 
 log = logbook.Logger("attempts")
 
-#: Seconds that a worker may take to say what became of an attempt.
+#: Timeout in seconds of a void call, which asks a worker for the state of an attempt
+#: and keeps an attempt that it has not seen from starting.
 VOID_TIMEOUT_S = 1.0
-#: Seconds between such questions.
+#: Seconds between void calls for the same attempt.
 VOID_INTERVAL_S = 0.25
-#: How many times as long as the worker takes to answer that question an order must have
-#: been on its way, unseen, for its connection to be taken for silent.
+#: A connection is considered silent if a start request sent on it has not arrived after
+#: at least this many times as long as the worker takes to answer the void call.
 SILENT_CONNECTION_FACTOR = 2.0
 
 Answer = result.Result[dispatch_messages.Report, dispatch_errors.DispatchError]
@@ -40,36 +41,40 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request on one worker; `answer` is None while it runs."""
+    """One attempt at a request on one worker; `answer` is None while it runs."""
 
     owned_worker: workers.OwnedWorker
     start: dispatch_messages.Start
     started_at: float
-    #: What the latency of nearly all attempts should stay under, if declared.
+    #: Declared p99 latency target of the operation, if any.
     target_seconds: float | None
     greenlet: gevent.Greenlet | None = None
     answer: Answer | None = None
-    #: Monotonic time at which the order went out, and whether its connection had
-    #: carried answers before.
+    #: Monotonic time at which the start request was sent, and whether its connection
+    #: had carried answers before.
     sent_at: float | None = None
     reused_connection: bool = False
-    #: Monotonic time until which an order that is not seen may be on its way.
+    #: Monotonic time until which a start request that has not arrived may still be in
+    #: transit.
     suspect_at: float = 0.0
-    #: Monotonic time at which it was given up, or its answer lost.
+    #: Monotonic time at which it was cancelled, or its call returned.
     ended_at: float = 0.0
-    #: True once the loss of the attempt was held against its worker.
+    #: True once the attempt was recorded as late or failed on its worker.
     failure_recorded: bool = False
 
     def mark_sent(
         self, at: float, suspect_after: float, reused_connection: bool
     ) -> None:
-        """Take note that the order went out; unseen, it is suspect after `patience`."""
+        """Record that the start request was sent.
+
+        If it has not arrived `suspect_after` seconds later, its connection is suspect.
+        """
         self.sent_at = at
         self.suspect_at = at + suspect_after
         self.reused_connection = reused_connection
 
     def summary(self, since: float) -> dict[str, object]:
-        """Return what a log line tells of it, its times in seconds from `since`."""
+        """Return the fields for a log line, with times in seconds from `since`."""
         sent = None if self.sent_at is None else round(self.sent_at - since, 3)
         answer = "" if self.answer is None else type(self.answer).__name__
         return {
@@ -81,12 +86,13 @@
         }
 
     def connection_went_silent(self, void_seconds: float) -> bool:
-        """Tell whether the connection is to blame for an order that was never seen.
+        """Return whether a silent connection lost a start request that never arrived.
 
-        Its worker said so within `void_seconds`. What is new has not lost track of its
-        two ends. And where the worker itself, or this process, was held up, the order
-        was not on its way for much longer than the question that overtook it: taken for
-        silence, each such moment cost all idle connections of a sound worker.
+        The worker took `void_seconds` to report that it has not seen the request. A new
+        connection is never considered silent. If the worker or this process was merely
+        delayed, the request was not in transit for much longer than the void call that
+        overtook it: treating such delays as silence closed all idle connections of a
+        healthy worker each time.
         """
         if self.sent_at is None or not self.reused_connection:
             return False
@@ -96,7 +102,7 @@
 
 
 class Attempts:
-    """Starts attempts on this instance's workers and settles the lost ones."""
+    """Starts attempts on this instance's workers and resolves the lost ones."""
 
     def __init__(
         self,
@@ -104,17 +110,19 @@
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        quote_tails: tails.Tails,
+        tail_latencies: tails.Tails,
     ) -> None:
         self.placer = task_placer
         self.lease = lease
-        self.quote_tails = quote_tails
+        self.tail_latencies = tail_latencies
         self.clock = clock
         self.counters = counters
-        #: Makes task ids unique among the instances and runs that own a worker.
+        #: Makes task ids unique across all instances, and runs of them, that ever own
+        #: the same worker.
         self.task_id_prefix = secrets.token_hex(4)
         self.attempt_numbers = itertools.count(1)
-        #: Attempts beside another one, and those given up but not settled.
+        #: Additional attempts at a request that has another one, and attempts that were
+        #: cancelled but may still be running.
         self.extra: set[Attempt] = set()
 
     def start(
@@ -125,13 +133,13 @@
         new_connection: bool = False,
         suspect_after: float = 0.0,
     ) -> result.Result[Attempt, placement_errors.NotPlaced]:
-        """Start an attempt whose end is put into `answers`, or tell why not.
+        """Start an attempt, or return why it could not be placed.
 
-        It goes to none of the workers to `avoid`, and over a new connection if
-        `fresh`. Given up within `patience` seconds, it tells nothing of its
-        connection.
+        The attempt is put into `answers` when it ends. It is not placed on a worker in
+        `avoid`, and opens a new connection if `new_connection` is set. If it is
+        cancelled within `suspect_after` seconds, its connection is not suspected.
         """
-        # A worker refuses a task id that it has seen, also in a repeated request.
+        # A worker refuses a task id that it has already seen, even in a retry.
         suffix = f"~{self.task_id_prefix}-{next(self.attempt_numbers)}"
         work = work_of(request, suffix)
         placed = self.placer.place(work, request.deadline, avoid)
@@ -162,7 +170,7 @@
         return result.Ok(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt that runs still: its connection is closed at once."""
+        """Cancel an attempt that is still running, closing its connection at once."""
         if attempt.answer is not None or attempt.greenlet is None:
             return
         attempt.greenlet.kill(block=False)
@@ -197,9 +205,9 @@
             self.extra.discard(attempt)
 
     def _record_latency(self, attempt: Attempt) -> None:
-        """Note the latency; one that was given up took at least as long."""
+        """Record the latency; for a cancelled attempt it is a lower bound."""
         seconds = self.clock.monotonic() - attempt.started_at
-        self.quote_tails.observe(
+        self.tail_latencies.observe(
             attempt.owned_worker.name,
             attempt.start.team,
             attempt.target_seconds,
@@ -208,11 +216,11 @@
         )
 
     def _await_termination(self, attempt: Attempt) -> None:
-        """Keep the reservation until the task certainly doesn't run.
+        """Hold the reservation until the task is known not to be running.
 
-        Either the worker promises so, or the lease that the worker holds has
-        ended on its clock too. A worker that never saw the order although it
-        was sent tells of a connection that went silent.
+        That is the case once the worker confirms it, or once the task's lease has
+        expired on the worker's clock as well. If the worker never received a start
+        request that was sent, the connection may have gone silent.
         """
         start = attempt.start
         lease_end = start.lease_deadline + clocks.CLOCK_SKEW_MARGIN_S
@@ -225,7 +233,7 @@
                 took = self.clock.monotonic() - asked_at
                 self._record_void_answer(attempt, voided.ok_value.state, took)
                 break
-            # A worker out of reach is at fault until it says otherwise.
+            # The failure is attributed to an unreachable worker until it answers.
             self._record_failure(attempt)
             self.clock.sleep(VOID_INTERVAL_S)
         else:
@@ -245,7 +253,7 @@
             return
         silenced = attempt.connection_went_silent(void_seconds)
         log.info(
-            "order not seen",
+            "start not received by worker",
             silenced=silenced,
             void_took=round(void_seconds, 4),
             given_up=round(attempt.ended_at - attempt.started_at, 4),
@@ -253,19 +261,19 @@
             **attempt.summary(attempt.started_at),
         )
         if not silenced:
-            # The other attempt won before this one's order had arrived, or the worker
-            # is new to us, or busy.
+            # The other attempt won before this start request arrived, or the worker is
+            # newly connected or busy.
             self.counters.count("dispatch.settled.unseen")
             return
-        # The worker never saw the order: held against it, the loss would keep
-        # quotes off a sound worker for seconds, as its ejection would.
+        # The worker never received the request. Recording a failure would keep quotes
+        # away from a healthy worker for seconds, as ejecting it would.
         self.counters.count("dispatch.settled.silent_connection")
         attempt.owned_worker.target.retire_idle()
 
     def _record_failure(self, attempt: Attempt) -> None:
-        """Hold an attempt against its worker, once.
+        """Record the attempt as late or failed on its worker, at most once.
 
-        One that was given up while it ran is late, but has not failed.
+        An attempt that was cancelled while it ran is late, but has not failed.
         """
         if attempt.failure_recorded:
             return
@@ -277,7 +285,7 @@
 
 
 def work_of(request: messages.ServiceRequest, suffix: str) -> placement_messages.Work:
-    """Return an attempt at the request as placement sees it."""
+    """Return the unit of work that placement handles for an attempt at `request`."""
     return placement_messages.Work(
         f"{request.team}/{request.request_id}{suffix}",
         request.team,
@@ -287,7 +295,7 @@
 
 
 def is_lost(answer: Answer) -> bool:
-    """Tell whether the task may run still."""
+    """Return whether the task may still be running."""
     return isinstance(answer, result.Err) and isinstance(
         answer.err_value, dispatch_errors.Lost
     )
--- a/src/mangosail/front/batch.py
+++ b/src/mangosail/front/batch.py
@@ -1,4 +1,4 @@
-"""``/v1/jobs``: batch jobs, answered alike by every instance."""
+"""``/v1/jobs``: batch jobs, which any instance can answer for."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 from mangosail.front import context
 from mangosail.jobs import errors, validation
 
-#: Jobs on one page unless the caller says otherwise, and the most there can be.
+#: Jobs on one page by default, and the most that a caller may ask for.
 DEFAULT_PAGE_SIZE = 50
 MAX_PAGE_SIZE = 200
 
@@ -21,7 +21,7 @@
         self.front = front
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Accept a job; accepted means that it is recorded."""
+        """Accept a job; once accepted, it is durably stored."""
         identity = self.front.authenticate(req)
         read = validation.parse_job(identity.team, self.front.read_body(req))
         if isinstance(read, result.Err):
@@ -44,7 +44,7 @@
         resp.text = codec.to_json(progress)
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Return the team's jobs by id, a page at a time."""
+        """Return one page of the team's jobs, sorted by id."""
         identity = self.front.authenticate(req)
         limit = req.get_param_as_int(
             "limit", min_value=1, max_value=MAX_PAGE_SIZE, default=DEFAULT_PAGE_SIZE
@@ -56,14 +56,14 @@
     def on_get_job(
         self, req: falcon.Request, resp: falcon.Response, job_id: str
     ) -> None:
-        """Return how far a job has come."""
+        """Return the progress of a job."""
         identity = self.front.authenticate(req)
         self._answer(resp, self.front.jobs.look_up(identity.team, job_id))
 
     def on_delete_job(
         self, req: falcon.Request, resp: falcon.Response, job_id: str
     ) -> None:
-        """Cancel a job; accepted means that no waiting task of it will start."""
+        """Cancel a job; once accepted, none of its waiting tasks will start."""
         identity = self.front.authenticate(req)
         cancelled = self.front.jobs.cancel(identity.team, job_id)
         self._answer(resp, cancelled)
@@ -98,11 +98,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRefusal:
-    """How an error of jobs looks to a caller."""
+    """The response to a caller for one kind of job error."""
 
     status: int
     title: str
-    #: Whether anything of what was asked may have taken effect.
+    #: Whether any part of the request may have taken effect.
     outcome: str = "not_run"
 
 
--- a/src/mangosail/front/context.py
+++ b/src/mangosail/front/context.py
@@ -1,4 +1,4 @@
-"""What every resource needs: who asks, what, and until when."""
+"""Common parsing of requests: authentication, body, deadline and request id."""
 
 import collections.abc as cabc
 import dataclasses
@@ -22,21 +22,21 @@
 from mangosail.telemetry import logs
 from mangosail.work import runner as work_runner
 
-#: Seconds after which a caller that came before the settings should come back.
+#: Retry-After in seconds for callers that arrive before the settings were read.
 RETRY_AFTER_S = 1
-#: Largest body that is read, in bytes.
+#: Size limit of a request body.
 MAX_BODY_BYTES = 1024 * 1024
-#: Longest time in seconds that a caller may ask to wait.
+#: Upper bound in seconds for the Request-Timeout that a caller may set.
 MAX_TIMEOUT_S = 3600.0
-#: Seconds in which a body must have come.
+#: Seconds within which the whole body must have been received.
 BODY_TIMEOUT_S = 5.0
-#: A request id: part of task ids and of rows' keys, so without their separators.
+#: A request id becomes part of task ids and row keys, so it excludes their separators.
 REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}")
 
 
 @dataclasses.dataclass(kw_only=True, eq=False, slots=True)
 class Front:
-    """What the resources below need of the instance."""
+    """The parts of the instance that the HTTP resources use."""
 
     settings: state.Settings
     quotes: quote_service.Quotes
@@ -48,25 +48,25 @@
     counters: telemetry.Counters
     describer: description.Describer
     peers: membership.Peers
-    #: What each listed worker can carry, of all data centres.
+    #: Returns the capacity of each listed worker in all data centres.
     capacities: cabc.Callable[[], list[resources.Resources]]
     ready: bool = False
-    #: True once a planned stop has begun.
+    #: True once a planned shutdown has begun.
     draining: bool = False
 
     def describe(self) -> dict[str, t.Any]:
-        """Return the status that operators see."""
+        """Return the instance status shown to operators."""
         return self.describer.describe(ready=self.ready, draining=self.draining)
 
     def authenticate(self, req: falcon.Request) -> state.Identity:
-        """Return whose request this is, or refuse it."""
+        """Return the caller's identity, or refuse the request."""
         scheme, _, token = (req.auth or "").partition(" ")
         if scheme.lower() != "bearer" or not token:
             raise falcon.HTTPUnauthorized(title="token_missing")
         identity = self.settings.identify(token)
         if identity is None and not self.settings.were_read():
-            # The token may well be good: to call it unknown would send an
-            # operator looking for a revoked one.
+            # The token may be valid: reporting it as unknown would make an operator
+            # look for a revoked token.
             raise falcon.HTTPServiceUnavailable(
                 title="starting", retry_after=RETRY_AFTER_S
             )
@@ -75,7 +75,7 @@
         return identity
 
     def read_body(self, req: falcon.Request) -> t.Any:
-        """Return the request's JSON body, or refuse it."""
+        """Return the decoded JSON body, or refuse the request."""
         data = self._read_body_bytes(req)
         if not data:
             return None
@@ -98,24 +98,24 @@
         return body
 
     def deadline(self, req: falcon.Request, default: float) -> float:
-        """Return the monotonic time until which the caller waits."""
+        """Return the caller's deadline in monotonic time."""
         text = req.get_header("Request-Timeout")
         seconds = default if text is None else timeout_of(text)
         if seconds == 0:
             raise falcon.HTTPGatewayTimeout(title="deadline")
         return self.clock.monotonic() + min(seconds, MAX_TIMEOUT_S)
 
-    def read(
+    def parse_request(
         self, req: falcon.Request, service: str, operation: str
     ) -> messages.ServiceRequest:
-        """Return the checked request for a service's operation."""
+        """Return the validated request for a service's operation."""
         identity = self.authenticate(req)
         declared = self.settings.operation(identity.team, service, operation)
         if declared is None:
             raise falcon.HTTPNotFound(
                 title="unknown_service", description=f"{service}/{operation}"
             )
-        req.context.timed = declared.mode.value
+        req.context.request_class = declared.mode.value
         request_id = request_id_of(req)
         logs.REQUEST_ID.set(request_id)
         return messages.ServiceRequest(
@@ -129,7 +129,7 @@
         )
 
     def _read_body_bytes(self, req: falcon.Request) -> bytes:
-        """Return the whole body, with a length or chunked, within its bounds."""
+        """Return the whole body, chunked or not, within the size and time limits."""
         if (req.content_length or 0) > MAX_BODY_BYTES:
             raise body_too_large()
         try:
@@ -147,14 +147,14 @@
 
 
 def body_too_large() -> falcon.HTTPError:
-    """Return the refusal of a body that is too large."""
+    """Return the error for a body that exceeds the size limit."""
     return falcon.HTTPContentTooLarge(
         title="oversized", description=f"the body: at most {MAX_BODY_BYTES} bytes"
     )
 
 
 def request_id_of(req: falcon.Request) -> str:
-    """Return the caller's request id, or a new one if there is none."""
+    """Return the caller's request id, or a random one if there is none."""
     text = req.get_header("Request-Id")
     if text is None:
         return secrets.token_hex(8)
@@ -167,7 +167,7 @@
 
 
 def timeout_of(text: str) -> float:
-    """Return the seconds that a Request-Timeout header gives."""
+    """Return the value of a Request-Timeout header in seconds."""
     try:
         seconds = float(text)
     except ValueError:
--- a/src/mangosail/front/description.py
+++ b/src/mangosail/front/description.py
@@ -1,4 +1,4 @@
-"""The status of an instance, as ``/v1/status`` shows it to operators."""
+"""The status of an instance, as reported by ``/v1/status``."""
 
 import dataclasses
 import typing as t
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Describer:
-    """Puts the status together from the parts that know of it."""
+    """Assembles the status from the components of the instance."""
 
     jobs: queue.JobQueue
     runner: work_runner.Runner
@@ -46,7 +46,7 @@
 
 
 def worker_status(owned: workers.OwnedWorker) -> dict[str, t.Any]:
-    """Return what the status says of one worker."""
+    """Return the status entry of one worker."""
     return {
         "name": owned.name,
         "generation": owned.generation,
@@ -59,7 +59,7 @@
 
 
 def health_of(owned: workers.OwnedWorker) -> str:
-    """Return in one word whether a worker takes new work, and why if not."""
+    """Return one word for whether a worker accepts new work, and why if it doesn't."""
     if owned.leaving:
         return "leaving"
     return "taking" if owned.ready else "rebuilding"
--- a/src/mangosail/front/forwarding.py
+++ b/src/mangosail/front/forwarding.py
@@ -1,4 +1,4 @@
-"""Passing quotes on to peers, where no own worker takes them."""
+"""Forwarding of quotes to peers when none of this instance's workers accepts them."""
 
 import collections.abc as cabc
 
@@ -11,14 +11,14 @@
 from mangosail.placement import errors as placement_errors
 from mangosail.telemetry import counters as telemetry
 
-#: Seconds of a caller's time kept back for the way home from a peer.
+#: Seconds of the caller's remaining time reserved for returning the peer's answer.
 RETURN_MARGIN_S = 0.02
-#: Peers that one quote is forwarded to, one after the other.
+#: Maximum number of peers that a quote is forwarded to, one after the other.
 MAX_PEERS = 2
-#: Share of the remaining time that the first of two peers is given.
+#: Share of the remaining time given to the first of two peers.
 FIRST_PEER_SHARE = 0.6
 
-#: What a peer without room refuses with.
+#: Reason with which a peer without capacity refuses.
 NO_CAPACITY = placement_errors.Reason.NO_CAPACITY.value
 OK = 200
 UNAVAILABLE = 503
@@ -26,7 +26,7 @@
 
 
 class Forwarding:
-    """Quotes at peers."""
+    """Forwards quotes to peers."""
 
     def __init__(
         self,
@@ -40,9 +40,10 @@
     ) -> None:
         self.peers = peers
         self.data_centre = data_centre
-        #: Tells whether this instance has no worker of its own to use.
+        #: Returns whether this instance owns no worker that accepts work.
         self.has_no_workers = has_no_workers
-        #: Takes an extra attempt, for the reason given, from the budget of all quotes.
+        #: Spends one retry, for the given reason, from the budget shared by all quotes;
+        #: returns False if none is left.
         self.spend_retry = spend_retry
         self.refuse = refuse
         self.clock = clock
@@ -51,10 +52,10 @@
     def forward(
         self, request: messages.ServiceRequest, outcome: str
     ) -> messages.Answer | None:
-        """Pass the request on, to a second peer if the first one does not serve it.
+        """Forward the request, to a second peer if the first one does not serve it.
 
-        `outcome` is what a refusal tells unless an attempt at a peer may have run.
-        Returns None if no peer has room.
+        `outcome` is the outcome reported by a refusal unless an attempt at a peer may
+        have run. Returns None if no peer has capacity.
         """
         reason = ""
         peers = self._peers_for(request.declared.needs.as_resources())
@@ -65,7 +66,7 @@
             if left <= 0:
                 return self.refuse(TIMED_OUT, "deadline", outcome)
             if turn + 1 < len(peers):
-                # A frozen peer never answers: keep time to ask the other.
+                # A frozen peer never answers: leave time to try the other one.
                 left *= FIRST_PEER_SHARE
             answer = self._call_peer(peer, request, left)
             if isinstance(answer, result.Err):
@@ -79,21 +80,22 @@
             if reply.status != UNAVAILABLE:
                 return from_forwarded_answer(reply, outcome)
             if may_have_run or not reason:
-                # An attempt that may have run tells a caller more than a later
-                # peer's lack of room.
+                # An attempt that may have run matters more to the caller than a later
+                # peer's lack of capacity.
                 reason = reply.body
         if not reason:
             return None
         return self.refuse(UNAVAILABLE, reason, outcome)
 
     def _peers_for(self, needs: resources.Resources) -> cabc.Sequence[membership.Peer]:
-        """Return the peers to ask, in turn.
-
-        What peers told of their room is up to four seconds old. Where it leaves one
-        peer alone, another is asked too: when that one was frozen, each quote was
-        refused until the next heartbeat told of the room that others had by then.
-        Where it leaves none, a peer may have taken a worker since, or ended what filled
-        its own: all are asked for an instance that depends on them, else a few.
+        """Return the peers to try, in order.
+
+        The capacity that peers report is up to four seconds old. If only one reports
+        enough, a second one is tried too: when the only one was frozen, every quote was
+        refused until the next heartbeat reported capacity elsewhere. If none reports
+        enough, a peer may have acquired a worker or finished work since: peers are
+        tried anyway if this instance has no worker to use, and otherwise only as far
+        as the retry budget allows.
         """
         peers = self.peers.with_capacity(needs, self.data_centre)
         if (
@@ -125,7 +127,7 @@
 def to_forwarded(
     request: messages.ServiceRequest, timeout: float
 ) -> messages.Forwarded:
-    """Return `request` as it is passed on, with what is left of its time."""
+    """Return the message that forwards `request` with its remaining time."""
     return messages.Forwarded(
         request.request_id,
         request.team,
@@ -139,9 +141,9 @@
 def from_forwarded_answer(
     answer: messages.ForwardedAnswer, outcome: str
 ) -> messages.Answer:
-    """Return what a peer answered as if it had been answered here.
+    """Convert a peer's answer into an answer of this instance.
 
-    `outcome` is that of all attempts, the peer's and others, if none served it.
+    `outcome` is the combined outcome of all attempts, used if none served the request.
     """
     if answer.status == OK:
         served = messages.Served(
--- a/src/mangosail/front/headers.py
+++ b/src/mangosail/front/headers.py
@@ -1,4 +1,4 @@
-"""Headers that answers have in common."""
+"""Response headers shared by several resources."""
 
 import math
 
@@ -6,6 +6,6 @@
 
 
 def set_retry_after(resp: falcon.Response, seconds: float | None) -> None:
-    """Tell the caller when to ask again: HTTP takes whole seconds only."""
+    """Set Retry-After, rounded up because HTTP allows whole seconds only."""
     if seconds is not None:
         resp.set_header("Retry-After", str(max(math.ceil(seconds), 1)))
--- a/src/mangosail/front/messages.py
+++ b/src/mangosail/front/messages.py
@@ -1,4 +1,4 @@
-"""A caller's request inside the program and at peers, and what it is answered."""
+"""Requests of callers, as handled here and as forwarded to peers, and their answers."""
 
 import dataclasses
 import typing as t
@@ -7,14 +7,14 @@
 
 from mangosail.settings import schema
 
-#: Outcomes of a refused request: no attempt at it was sent, or one may have run.
+#: Outcomes of a refused request: no attempt was sent, or one may have run.
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """A request for a service's operation; `deadline` is monotonic seconds."""
+    """A request for a service's operation; `deadline` is a monotonic time."""
 
     request_id: str
     team: str
@@ -26,13 +26,13 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind under which latency is learned."""
+        """Return the key under which latencies are recorded."""
         return f"{self.service}.{self.operation}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Served:
-    """A whole answer and where it came from."""
+    """A successful answer, with the worker and data centre that produced it."""
 
     answer: t.Any
     worker: str
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final refusal: HTTP status, reason, and when to come back if ever."""
+    """A final refusal: HTTP status, reason, and when to retry, if at all."""
 
     status: int
     reason: str
@@ -49,15 +49,15 @@
     outcome: str = NOT_RUN
 
 
-#: What a request is answered.
+#: The answer to a request.
 Answer = result.Result[Served, Refusal]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forwarded:
-    """A request passed on, once, to a peer that has room.
+    """A request forwarded to a peer, which does not forward it again.
 
-    `timeout` is what was left of the caller's time when it was sent.
+    `timeout` is the caller's remaining time when it was sent.
     """
 
     request_id: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardedAnswer:
-    """What the peer answered: an HTTP status, and the answer as JSON text."""
+    """The peer's answer: an HTTP status, and a JSON text or the reason of a refusal."""
 
     request_id: str
     status: int
@@ -78,13 +78,13 @@
     retry_after: float | None = None
     worker: str = ""
     data_centre: str = ""
-    #: Of a refusal: `not_run` only if no attempt at it was sent.
+    #: For a refusal; `not_run` only if no attempt was sent.
     outcome: str = UNKNOWN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DescribeRequest:
-    """Asks an instance for its status; sent only when an operator asks."""
+    """Requests an instance's status on behalf of an operator."""
 
     instance: str
 
--- a/src/mangosail/front/methods.py
+++ b/src/mangosail/front/methods.py
@@ -1,9 +1,9 @@
-"""What peers ask of the front door."""
+"""Peer-to-peer methods of the HTTP front end."""
 
 from mangosail.front import messages
 from mangosail.membership import rpc
 
-#: Serve a request from our own workers only.
+#: Serve a forwarded request on the receiving instance's own workers only.
 FORWARD = rpc.Method("forward", messages.Forwarded, messages.ForwardedAnswer)
-#: Return our status for a peer's operator.
+#: Return the receiving instance's status.
 DESCRIBE = rpc.Method("describe_to", messages.DescribeRequest, messages.Description)
--- a/src/mangosail/front/outcomes.py
+++ b/src/mangosail/front/outcomes.py
@@ -1,4 +1,4 @@
-"""``/v1/work/{request_id}``: what became of durable work, and its cancellation."""
+"""``/v1/work/{request_id}``: looks up and cancels durable work."""
 
 import falcon
 import result
@@ -16,7 +16,7 @@
     def on_get(
         self, req: falcon.Request, resp: falcon.Response, request_id: str
     ) -> None:
-        """Return what is known of a piece of work."""
+        """Return the outcome of a piece of work."""
         identity = self.front.authenticate(req)
         found = self.front.runner.look_up(identity.team, request_id)
         if isinstance(found, result.Err):
@@ -29,9 +29,10 @@
     def on_delete(
         self, req: falcon.Request, resp: falcon.Response, request_id: str
     ) -> None:
-        """Cancel a piece of work, and return what became of it.
+        """Cancel a piece of work, and return its outcome.
 
-        Works on an id that nobody has used yet, too: it never runs from then on.
+        An id that has not been used yet can be cancelled too: a request with that id
+        will never run.
         """
         identity = self.front.authenticate(req)
         replies.answer_work(resp, self.front.runner.cancel(identity.team, request_id))
--- a/src/mangosail/front/peering.py
+++ b/src/mangosail/front/peering.py
@@ -1,4 +1,4 @@
-"""What the front door does for peers: their requests, and their operators'."""
+"""Handlers for peers' calls: forwarded requests, and status for operators."""
 
 import result
 
@@ -7,13 +7,13 @@
 
 
 class PeerHandlers:
-    """Answers the methods of `front.methods`."""
+    """Implements the methods declared in `front.methods`."""
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
 
     def forward(self, message: messages.Forwarded) -> messages.ForwardedAnswer:
-        """Serve a peer's request from our own workers only."""
+        """Serve a request forwarded by a peer, on this instance's own workers only."""
         declared = self.front.settings.operation(
             message.team, message.service, message.operation
         )
@@ -34,7 +34,7 @@
         return to_forwarded_answer(message.request_id, answer)
 
     def describe(self, message: messages.DescribeRequest) -> messages.Description:
-        """Return our status for the operator of a peer."""
+        """Return this instance's status for an operator who asked a peer."""
         return messages.Description(
             self.front.peers.own_name, codec.to_json(self.front.describe())
         )
@@ -43,7 +43,7 @@
 def to_forwarded_answer(
     request_id: str, answer: messages.Answer
 ) -> messages.ForwardedAnswer:
-    """Return an answer as it goes back to the peer that passed the request on."""
+    """Convert an answer into the message for the peer that forwarded the request."""
     if isinstance(answer, result.Err):
         refusal = answer.err_value
         return messages.ForwardedAnswer(
--- a/src/mangosail/front/quotes.py
+++ b/src/mangosail/front/quotes.py
@@ -1,4 +1,4 @@
-"""Quotes: latency-critical, idempotent, answered in the same exchange."""
+"""Quotes: latency-critical, idempotent requests that are answered synchronously."""
 
 import collections.abc as cabc
 import itertools
@@ -19,35 +19,37 @@
 
 log = logbook.Logger("quotes")
 
-#: Attempts that one quote may cost here, the first included.
+#: Maximum number of attempts at one quote on this instance's workers.
 MAX_ATTEMPTS = 3
-#: Retries that requests earn, as a share of them, and how many may be saved up.
+#: Retry budget: retries earned per request, and the most that may accumulate.
 RETRY_SHARE = 0.10
 RETRY_BURST = 10.0
-#: The same for attempts started while the first one is still waited for.
+#: The same for hedges: attempts started while the first one is still running.
 HEDGE_SHARE = 0.05
 HEDGE_BURST = 5.0
-#: Share of a worker's slots that must be free for a hedge: extra attempts must
-#: not take the room that first attempts need, which would then be refused.
+#: Share of a worker's slots that must be free for a hedge. Additional attempts must not
+#: take slots that first attempts need, or those would be refused.
 HEDGE_FREE_SLOT_SHARE = 0.25
-#: Seconds that a first attempt waits at most for places that extra ones hold,
-#: and between looks; those end within milliseconds, a refusal costs a caller more.
+#: Seconds that a first attempt waits at most for slots held by additional attempts, and
+#: the polling interval. Those attempts end within milliseconds, and a refusal would
+#: cost the caller more than the wait.
 SLOT_WAIT_S = 0.05
 SLOT_POLL_INTERVAL_S = 0.005
-#: Seconds that a hedge waits at least, however fast answers are.
+#: Minimum delay in seconds before a hedge, however fast answers are.
 MIN_HEDGE_DELAY_S = 0.01
-#: Share of the caller's time after which a silent first attempt counts as lost.
+#: Share of the caller's time after which an unanswered attempt is considered lost.
 LOST_AFTER_SHARE = 0.5
-#: Seconds after which a caller that found no room should come back.
+#: Retry-After in seconds for callers refused for lack of capacity.
 RETRY_AFTER_S = 1.0
-#: Own workers, and peers, that the line of a refusal tells of; it comes with each one.
+#: Number of workers, and of peers, listed in the log line that is written for each
+#: refusal.
 MAX_LOGGED = 8
-#: Refusals after which a peer may still have room.
+#: Reasons for which a request is forwarded: a peer may still have capacity.
 FORWARDABLE_REASONS = frozenset(
     {placement_errors.Reason.NO_CAPACITY, placement_errors.Reason.DEADLINE}
 )
 
-#: What a quote is told that found no owner to ask.
+#: Initial refusal of a quote, before any placement was attempted.
 NO_CAPACITY = placement_errors.NotPlaced(
     placement_errors.Reason.NO_CAPACITY, RETRY_AFTER_S
 )
@@ -57,7 +59,7 @@
 
 
 class Quotes:
-    """Serves quotes from own workers, else from a peer's."""
+    """Serves quotes on this instance's workers, or else through a peer."""
 
     def __init__(
         self,
@@ -66,14 +68,14 @@
         lease: session.Session,
         clock: clocks.Clock,
         counters: telemetry.Counters,
-        quote_tails: tails.Tails,
+        tail_latencies: tails.Tails,
     ) -> None:
         self.placer = task_placer
         self.lease = lease
         self.clock = clock
         self.counters = counters
         self.attempts = attempts.Attempts(
-            task_placer, lease, clock, counters, quote_tails
+            task_placer, lease, clock, counters, tail_latencies
         )
         self.latencies = answer_times.AnswerTimes()
         self.retries = budget.Budget(RETRY_SHARE, RETRY_BURST)
@@ -91,27 +93,27 @@
     def serve(
         self, request: messages.ServiceRequest, forward: bool = True
     ) -> messages.Answer:
-        """Answer `request` from here, or from a peer if `forward` allows."""
+        """Answer `request` here, or through a peer if `forward` is set."""
         self.retries.earn()
         self.hedges.earn()
-        race = HedgedRequest(self, request)
-        answer = race.run()
+        hedged = HedgedRequest(self, request)
+        answer = hedged.run()
         if answer is not None:
             return answer
         # An attempt that failed, or whose answer was lost, may have run.
-        outcome = messages.UNKNOWN if race.tried else messages.NOT_RUN
+        outcome = messages.UNKNOWN if hedged.tried else messages.NOT_RUN
         if self.clock.monotonic() >= request.deadline:
             return self.refuse(TIMED_OUT, "deadline", outcome)
-        if forward and race.not_placed.reason in FORWARDABLE_REASONS:
-            passed_on = self.forwarding.forward(request, outcome)
-            if passed_on is not None:
-                return passed_on
-        return self._refuse_not_placed(race.not_placed, outcome)
+        if forward and hedged.not_placed.reason in FORWARDABLE_REASONS:
+            forwarded = self.forwarding.forward(request, outcome)
+            if forwarded is not None:
+                return forwarded
+        return self._refuse_not_placed(hedged.not_placed, outcome)
 
     def candidates(
         self, request: messages.ServiceRequest, tried: cabc.Sequence[attempts.Attempt]
     ) -> list[workers.OwnedWorker]:
-        """Return the workers that have not been tried and could take an attempt."""
+        """Return the untried workers that have capacity for an attempt."""
         used = names_of(tried)
         found = self.placer.candidates(attempts.work_of(request, ""))
         return [owned for owned in found if owned.name not in used]
@@ -139,9 +141,9 @@
         )
 
     def _log_no_capacity(self) -> None:
-        """Say what own workers have left, and what peers last told of theirs."""
+        """Log the free capacity of own workers, and what peers last reported."""
         log.info(
-            "no room",
+            "no capacity",
             lease_holds=self.lease.valid(),
             workers=[
                 owned.summary()
@@ -152,7 +154,7 @@
         )
 
     def spend(self, attempt_budget: budget.Budget, kind: str, reason: str) -> bool:
-        """Take an extra attempt from a budget, and count it or its refusal."""
+        """Spend one attempt from a budget; count it, or the refusal if none is left."""
         if not attempt_budget.spend():
             self.counters.count(f"front.{kind}_refused.budget")
             return False
@@ -161,12 +163,12 @@
 
 
 class HedgedRequest:
-    """The attempts of one quote on own workers; the first whole answer wins.
+    """The attempts at one quote on own workers; the first successful answer wins.
 
-    The second attempt starts once the first one takes longer than nearly all
-    answers of its kind, on another worker (a hedge), or once half of the
-    caller's time is over, on a new connection to the same worker if there is no
-    other: the connection may have gone silent.
+    A second attempt is started on another worker (a hedge) once the first one takes
+    longer than nearly all answers of its kind. Once half of the caller's time is over,
+    another attempt is started on a new connection, to the same worker if there is no
+    other one: the first connection may have gone silent.
     """
 
     def __init__(self, quotes: Quotes, request: messages.ServiceRequest) -> None:
@@ -176,7 +178,7 @@
             gevent.queue.SimpleQueue()
         )
         self.tried: list[attempts.Attempt] = []
-        #: Why the last attempt found no place.
+        #: Why the last attempt could not be placed.
         self.not_placed = NO_CAPACITY
         now = self.started_at = quotes.clock.monotonic()
         self.hedge_delay = max(quotes.latencies.p95(request.kind), MIN_HEDGE_DELAY_S)
@@ -184,7 +186,7 @@
         self.lost_at = now + (request.deadline - now) * LOST_AFTER_SHARE
 
     def run(self) -> messages.Answer | None:
-        """Return the answer; None if none can be had from own workers."""
+        """Return the answer, or None if own workers can't provide one."""
         self._wait_for_slot()
         try:
             if not self._start_attempt(allow_tried=False):
@@ -195,7 +197,7 @@
                 self.quotes.attempts.cancel(attempt)
 
     def _wait_for_slot(self) -> None:
-        """Wait for a place while extra attempts hold what this one needs."""
+        """Wait for a slot while additional attempts hold those that this one needs."""
         clock = self.quotes.clock
         until = min(clock.monotonic() + SLOT_WAIT_S, self.request.deadline)
         while self.quotes.attempts.extra and clock.monotonic() < until:
@@ -231,10 +233,10 @@
             waiting += 1
 
     def _log_out_of_time(self) -> None:
-        """Say where the caller's time went: to this instance, or to which worker."""
+        """Log where the caller's time went: this instance, or which worker."""
         now = self.quotes.clock.monotonic()
         log.info(
-            "out of time",
+            "deadline exceeded",
             request=self.request.request_id,
             taken=round(now - self.started_at, 3),
             over=round(now - self.request.deadline, 3),
@@ -243,7 +245,7 @@
         )
 
     def _next_ended(self) -> attempts.Attempt | None:
-        """Return the next attempt that ended, or None when it takes too long."""
+        """Return the next attempt that ends, or None when another one is due."""
         until = min(self.hedge_at, self.lost_at, self.request.deadline)
         left = until - self.quotes.clock.monotonic()
         try:
@@ -252,7 +254,7 @@
             return None
 
     def _add_attempt(self) -> int:
-        """Start another attempt beside those that run, and return their number."""
+        """Start another attempt if due and allowed; return the number started."""
         now = self.quotes.clock.monotonic()
         never = self.request.deadline
         if now >= self.lost_at:
@@ -278,7 +280,7 @@
         )
 
     def _may_retry(self, reason: str) -> bool:
-        """Tell whether the retry budget and the caller's time allow an attempt."""
+        """Return whether the retry budget and the caller's time allow an attempt."""
         if len(self.tried) >= MAX_ATTEMPTS:
             self.quotes.counters.count("front.retry_refused.attempts")
             return False
@@ -287,10 +289,10 @@
         return self.quotes.spend(self.quotes.retries, "retry", reason)
 
     def _start_attempt(self, allow_tried: bool, new_connection: bool = False) -> bool:
-        """Start an attempt, on a new connection if `fresh`; tell whether it was.
+        """Start an attempt, and return whether it could be placed.
 
-        A worker that was tried is used only if `again` allows it and no other
-        has room.
+        A worker that was tried before is used only if `allow_tried` is set and no other
+        one has capacity.
         """
         avoid = names_of(self.tried)
         begun = self._place_attempt(avoid, new_connection)
@@ -320,5 +322,5 @@
 
 
 def names_of(tried: cabc.Iterable[attempts.Attempt]) -> frozenset[str]:
-    """Return the names of the workers that were tried."""
+    """Return the names of the workers used by the attempts."""
     return frozenset(attempt.owned_worker.name for attempt in tried)
--- a/src/mangosail/front/replies.py
+++ b/src/mangosail/front/replies.py
@@ -1,4 +1,4 @@
-"""Refusals and outcomes as HTTP answers."""
+"""HTTP responses for refusals and for outcomes of durable work."""
 
 import falcon
 import result
@@ -12,7 +12,7 @@
 
 
 def refuse(resp: falcon.Response, refusal: messages.Refusal) -> None:
-    """Write a refusal."""
+    """Write the response for a refusal."""
     resp.status = refusal.status
     body = {
         "title": refusal.reason,
@@ -28,7 +28,7 @@
     resp: falcon.Response,
     answer: result.Result[work_messages.Outcome, runner.SubmitError],
 ) -> None:
-    """Write what became of a piece of durable work."""
+    """Write the outcome of a piece of durable work."""
     if isinstance(answer, result.Err):
         refuse_work(resp, answer.err_value)
         return
@@ -40,11 +40,11 @@
 
 
 def refuse_work(resp: falcon.Response, error: runner.SubmitError) -> None:
-    """Write why a piece of durable work was not taken on.
+    """Write why a piece of durable work was not accepted.
 
-    A request that was refused before a claim is not called `not_run`: the same
-    id may be in hand at another instance, from an attempt whose answer the
-    caller lost. To repeat it is safe, and to cancel it makes `not_run` certain.
+    The outcome is not `not_run`, even if the request was refused before it was claimed:
+    another instance may be processing the same id, from an earlier call whose answer
+    the caller lost. It is safe to repeat the request; cancelling it ensures `not_run`.
     """
     if isinstance(error, work_errors.BodyConflict):
         resp.status = falcon.HTTP_CONFLICT
@@ -58,7 +58,7 @@
 def refuse_unknown(
     resp: falcon.Response, reason: str, retry_after: float | None
 ) -> None:
-    """Write a refusal of work of which nothing certain is known."""
+    """Write a refusal of work whose outcome is unknown."""
     resp.status = falcon.HTTP_SERVICE_UNAVAILABLE
     body = {"title": reason, "outcome": "unknown", "retry_after": retry_after}
     resp.text = codec.to_json(body)
--- a/src/mangosail/front/server.py
+++ b/src/mangosail/front/server.py
@@ -1,4 +1,4 @@
-"""The WSGI server, set up for short answers and against slow or many callers."""
+"""The WSGI server: low latency for short answers, limits for slow or many callers."""
 
 import collections.abc as cabc
 import socket
@@ -11,33 +11,33 @@
 from mangosail import codec
 from mangosail.telemetry import counters as telemetry
 
-#: Seconds that a connection may idle between requests, and a write may take.
+#: Seconds that a connection may be idle between requests, and that a write may take.
 IDLE_TIMEOUT_S = 60.0
-#: Seconds in which a request's line and headers must have come.
+#: Seconds within which the request line and headers must have been received.
 HEADERS_TIMEOUT_S = 5.0
-#: Seconds and bytes spent on what is left of a body that nobody wants.
+#: Limits, in seconds and bytes, for reading and discarding the rest of an unread body.
 DISCARD_TIMEOUT_S = 2.0
 MAX_DISCARD_BYTES = 4 * 1024 * 1024
-#: Connections held at a time; further ones wait to be accepted.
+#: Maximum number of open connections; further ones wait to be accepted.
 MAX_CONNECTIONS = 4096
-#: Requests in hand at a time; further ones are refused at once.
+#: Maximum number of concurrent requests; further ones are refused immediately.
 MAX_REQUESTS = 512
-#: Seconds after which a caller that was refused for that should come back.
+#: Retry-After in seconds for requests refused because of that limit.
 RETRY_AFTER_S = 1
-#: Paths that are answered however many requests are in hand.
+#: Probe paths, which are exempt from the limit.
 PROBE_PATHS = ("/healthz", "/readyz")
 
 OVERLOADED = "overloaded"
 
 
 class RequestLimiter:
-    """The application, with the requests in hand counted and bounded."""
+    """Wraps the application to limit the number of concurrent requests."""
 
     def __init__(self, app: t.Any, counters: telemetry.Counters) -> None:
         self.app = app
         self.counters = counters
-        self.in_hand = 0
-        #: True while the instance stops: every answer ends its connection.
+        self.in_flight = 0
+        #: True during shutdown: every response then closes its connection.
         self.closing = False
 
     def __call__(
@@ -46,13 +46,13 @@
         """Serve one request."""
         if environ["PATH_INFO"] in PROBE_PATHS:
             return self.app(environ, start_response)
-        if self.in_hand >= MAX_REQUESTS:
+        if self.in_flight >= MAX_REQUESTS:
             return self._refuse(start_response)
-        self.in_hand += 1
+        self.in_flight += 1
         try:
             return self.app(environ, start_response)
         finally:
-            self.in_hand -= 1
+            self.in_flight -= 1
 
     def _refuse(
         self, start_response: cabc.Callable[..., t.Any]
@@ -75,23 +75,23 @@
 
 
 class Handler(pywsgi.WSGIHandler):
-    """Serves one connection, sending each write at once.
+    """Serves one connection with TCP_NODELAY set.
 
-    pywsgi writes headers and body separately. Without TCP_NODELAY the body waits
-    for the caller's delayed acknowledgement of the headers: every answer on a
-    kept connection came 40 ms late.
+    pywsgi writes headers and body separately. Without TCP_NODELAY the body waits for
+    the caller's delayed acknowledgement of the headers, which added 40 ms to every
+    answer on a keep-alive connection.
     """
 
     def __init__(self, sock: t.Any, *args: t.Any, **kwargs: t.Any) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Bounds idle connections, and callers that never read their answer.
+        # Limits idle connections, and callers that never read their answer.
         sock.settimeout(IDLE_TIMEOUT_S)
         super().__init__(sock, *args, **kwargs)
-        #: True from a request's first byte to the end of its answer.
+        #: True from the first line of a request to the end of its response.
         self.busy = False
 
     def handle(self) -> None:
-        """Serve the connection's requests one after the other."""
+        """Serve the requests of the connection one after the other."""
         self.server.handlers.add(self)
         try:
             super().handle()
@@ -106,7 +106,7 @@
             self.busy = False
 
     def read_request(self, raw_requestline: t.Any) -> t.Any:
-        """Read the headers within their time; a slow caller is refused."""
+        """Read the headers, and refuse a caller that exceeds their timeout."""
         self.busy = True
         with gevent.Timeout(HEADERS_TIMEOUT_S, SlowRequest("headers")):
             return super().read_request(raw_requestline)
@@ -128,23 +128,23 @@
         return status[:3], head.encode() + body
 
     def handle_error(self, kind: t.Any, error: t.Any, trace: t.Any) -> None:
-        """Count a fault that came up while an answer was being written."""
+        """Count an error that occurred while a response was being written."""
         self.server.counters.count("front.internal_error")
         super().handle_error(kind, error, trace)
 
     def start_response(
         self, status: str, headers: list[tuple[str, str]], exc_info: t.Any = None
     ) -> t.Any:
-        """Begin an answer; a stopping instance asks the caller to connect anew."""
+        """Start a response, with ``Connection: close`` while the instance stops."""
         if getattr(self.application, "closing", False):
             headers = [*headers, ("Connection", "close")]
         return super().start_response(status, headers, exc_info)
 
     def run_application(self) -> None:
-        """Answer, then get rid of a body that was not read.
+        """Respond, then discard the rest of a body that was not read.
 
-        pywsgi would read the rest for as long as it comes, which lets one slow
-        or endless caller hold the connection.
+        pywsgi would read the rest without any limit, so that a caller with a slow or
+        endless body could occupy the connection.
         """
         try:
             super().run_application()
@@ -169,11 +169,11 @@
 
 
 class SlowRequest(ValueError):
-    """A part of a request did not come within its time."""
+    """A part of a request was not received within its timeout."""
 
 
 class Server(pywsgi.WSGIServer):
-    """The server, which knows its connections and can end them gracefully."""
+    """A WSGI server that tracks its connections, for graceful shutdown."""
 
     def __init__(
         self,
@@ -195,7 +195,7 @@
         self.handlers: set[Handler] = set()
 
     def busy(self) -> bool:
-        """Tell whether any request is being read or answered."""
+        """Return whether any request is being read or answered."""
         return any(handler.busy for handler in self.handlers)
 
 
@@ -205,7 +205,7 @@
     counters: telemetry.Counters,
     tls: ssl.SSLContext | None = None,
 ) -> Server:
-    """Return a server for `app` on `address`, an IP number and a port."""
+    """Return a server for `app` on `address`, given as ``IP:port``."""
     secured = {} if tls is None else {"ssl_context": tls}
     host, _, port = address.rpartition(":")
     return Server((host, int(port)), app, counters, **secured)
--- a/src/mangosail/front/services.py
+++ b/src/mangosail/front/services.py
@@ -23,7 +23,7 @@
         operation: str,
     ) -> None:
         """Serve one request."""
-        request = self.front.read(req, service, operation)
+        request = self.front.parse_request(req, service, operation)
         resp.set_header("Request-Id", request.request_id)
         if request.declared.mode is schema.Mode.QUOTE:
             self._quote(request, resp)
--- a/src/mangosail/front/settings.py
+++ b/src/mangosail/front/settings.py
@@ -1,8 +1,8 @@
-"""``/v1/settings``: the administration API, by which operators drive the system.
+"""``/v1/settings``: the administration API for operators.
 
-A team's operators read and change their own subtree; the platform's
-administrator reads all and may create teams. To anyone else a team's subtree
-does not exist, whether it does or not.
+A team's operators read and change their own subtree; the platform's administrator has
+access to all of them and may create teams. Callers from other teams get 404 for a
+team's subtree, whether it exists or not.
 """
 
 import dataclasses
@@ -19,21 +19,21 @@
 from mangosail.front import context
 from mangosail.settings import changes, checks, errors, messages, spread, state
 
-#: What teams and change ids look like; both become parts of row keys.
+#: Names of teams and change ids; both become parts of row keys.
 TEAM_NAME_PATTERN = re.compile("[a-z0-9][a-z0-9-]{0,62}")
 CHANGE_ID_PATTERN = re.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-#: Name under which the administrator's changes stand in the history.
+#: Author recorded in the history for changes by the administrator.
 ADMINISTRATOR = "administrator"
-#: Seconds after which a change that is undecided is to be asked for again.
+#: Retry-After in seconds for a change whose result is not known.
 RETRY_AFTER_S = 1
-#: Revisions that one answer lists at most, and unless asked for otherwise.
+#: Revisions listed in one answer: the maximum, and the default.
 MAX_HISTORY = 100
 DEFAULT_HISTORY = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """A team's settings as an answer shows them."""
+    """A team's settings as shown in a response."""
 
     team: str
     revision: int
@@ -41,17 +41,17 @@
     author: str
     changed_at: float
     content: dict[str, t.Any]
-    #: ``table``, or ``memory`` while the table can't be read here.
+    #: ``table``, or ``memory`` while the table is unreachable.
     read_from: str
     changed: tuple[messages.Difference, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Why a change was not made, or is not known to be."""
+    """Why a change was not made, or why that is not known."""
 
     title: str
-    #: ``not_made`` for certain, or ``unknown``.
+    #: ``not_made`` if that is certain, otherwise ``unknown``.
     outcome: str
     faults: tuple[errors.Fault, ...] = ()
     revision: int | None = None
@@ -61,7 +61,7 @@
 
 
 class Administration:
-    """What the resources below need: who asks, and the settings."""
+    """Authorization, and access to the settings, for the resources below."""
 
     def __init__(
         self,
@@ -76,14 +76,14 @@
         self.admin_token_sha256 = admin_token_sha256
 
     def is_administrator(self, req: falcon.Request) -> bool:
-        """Return whether the platform's administrator asks."""
+        """Return whether the caller is the platform's administrator."""
         scheme, _, token = (req.auth or "").partition(" ")
         if scheme.lower() != "bearer" or self.admin_token_sha256 is None:
             return False
         return hmac.compare_digest(state.digest_of(token), self.admin_token_sha256)
 
     def author(self, req: falcon.Request, team: str) -> str:
-        """Return who operates `team` here, or refuse the request."""
+        """Return the author to record for changes to `team`, or refuse the request."""
         if self.is_administrator(req):
             if not TEAM_NAME_PATTERN.fullmatch(team):
                 raise falcon.HTTPNotFound(title="unknown_team")
@@ -98,7 +98,7 @@
         return identity.token
 
     def subtree(self, team: str) -> tuple[messages.Subtree, str]:
-        """Return a team's subtree and where it was read."""
+        """Return a team's subtree and where it was read from."""
         found = self.changes.read(team)
         held = self.front.settings.by_team.get(team)
         if isinstance(found, result.Err):
@@ -112,13 +112,13 @@
 
 
 class TeamsResource:
-    """``GET /v1/settings``: the teams that the asker may operate."""
+    """``GET /v1/settings``: the teams that the caller may operate."""
 
     def __init__(self, administration: Administration) -> None:
         self.administration = administration
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """List the teams and their revisions in force here."""
+        """List the teams, and their revisions in force on this instance."""
         in_force = self.administration.front.settings.by_team
         if self.administration.is_administrator(req):
             teams = sorted(in_force)
@@ -137,13 +137,13 @@
         self.administration = administration
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, team: str) -> None:
-        """Return the present settings, without hashes of tokens."""
+        """Return the current settings, without token hashes."""
         self.administration.author(req, team)
         subtree, read_from = self.administration.subtree(team)
         resp.text = codec.to_json(view(subtree, read_from))
 
     def on_put(self, req: falcon.Request, resp: falcon.Response, team: str) -> None:
-        """Change the settings; with ``dry_run=true`` only tell what would change."""
+        """Change the settings; with ``dry_run=true`` only return the difference."""
         author = self.administration.author(req, team)
         change = self._change(req)
         if req.get_param_as_bool("dry_run", default=False):
@@ -184,7 +184,7 @@
         self.administration = administration
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, team: str) -> None:
-        """List the last ``limit`` revisions, the latest first."""
+        """List the last ``limit`` revisions, latest first."""
         self.administration.author(req, team)
         limit = req.get_param_as_int(
             "limit", default=DEFAULT_HISTORY, min_value=1, max_value=MAX_HISTORY
@@ -199,7 +199,7 @@
 
 
 class RolloutResource:
-    """``GET /v1/settings/{team}/rollout``: where the present revision is in force."""
+    """``GET /v1/settings/{team}/rollout``: where the current revision is in force."""
 
     def __init__(self, administration: Administration) -> None:
         self.administration = administration
@@ -223,7 +223,7 @@
 
 
 def view(subtree: messages.Subtree, read_from: str) -> View:
-    """Return what an answer shows of `subtree`."""
+    """Return `subtree` in the form shown in responses."""
     return View(
         subtree.team,
         subtree.revision,
@@ -237,7 +237,7 @@
 
 
 def refuse(resp: falcon.Response, error: errors.ChangeError) -> None:
-    """Write why a change was not made, or is not known to be."""
+    """Write why a change was not made, or why that is not known."""
     status, refused = refusal(error)
     resp.status = status
     resp.text = codec.to_json(refused)
@@ -246,7 +246,7 @@
 
 
 def refusal(error: errors.ChangeError) -> tuple[str, Refused]:
-    """Return the status and the body that answer `error`."""
+    """Return the response status and body for `error`."""
     match error:
         case errors.BadSettings(faults):
             refused = Refused("bad_settings", "not_made", faults)
--- a/src/mangosail/front/status.py
+++ b/src/mangosail/front/status.py
@@ -10,12 +10,12 @@
 from mangosail.front import context, messages, methods
 from mangosail.membership import peers as membership
 
-#: Seconds that a peer's description may take.
+#: Timeout in seconds for fetching a peer's status.
 DESCRIBE_TIMEOUT_S = 1.0
 
 
 class StatusResource:
-    """``GET /v1/status``: what this instance knows of itself."""
+    """``GET /v1/status``: the status of this instance."""
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
@@ -27,16 +27,16 @@
 
 
 class InstancesResource:
-    """``GET /v1/instances``: the status of all instances, asked now.
+    """``GET /v1/instances``: the current status of all instances.
 
-    Heartbeats stay small; the peers are asked only when an operator asks.
+    Peers are queried on each request, which keeps heartbeats small.
     """
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Return the status of all instances, or of those of a data centre."""
+        """Return the status of all instances, or of those in one data centre."""
         self.front.authenticate(req)
         wanted = req.get_param("data_centre")
         asked = [
@@ -64,7 +64,7 @@
 
 
 class HealthResource:
-    """``GET /healthz``: the process runs."""
+    """``GET /healthz``: liveness; the process is running."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Return 200 always."""
@@ -72,13 +72,13 @@
 
 
 class ReadyResource:
-    """``GET /readyz``: the balancer may send callers here."""
+    """``GET /readyz``: readiness; the load balancer may send requests here."""
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Return 200 while new requests are welcome, else 503."""
+        """Return 200 while new requests are accepted, else 503."""
         ready = self.front.ready and not self.front.draining
         if not ready:
             resp.status = falcon.HTTP_SERVICE_UNAVAILABLE
--- a/src/mangosail/front/stopping.py
+++ b/src/mangosail/front/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop of an instance, which cuts off no request in flight."""
+"""The planned shutdown of an instance, which lets requests in flight complete."""
 
 import collections.abc as cabc
 
@@ -10,22 +10,22 @@
 
 log = logbook.Logger("front")
 
-#: Seconds that new callers are still served while the balancer finds out that
-#: this instance is not ready: three of its checks.
+#: Seconds for which new requests are still served until the load balancer has noticed
+#: that this instance is not ready: three of its checks.
 NOT_READY_PERIOD_S = 1.5
-#: Seconds between looks at what is in flight.
+#: Seconds between checks for requests in flight.
 POLL_INTERVAL_S = 0.02
-#: Looks in a row without anything in flight after which nothing is on its way.
+#: Consecutive checks without a request in flight after which none is expected.
 IDLE_POLLS = 5
 
 
 class Drain:
-    """Ends what an instance does, in the order in which callers lose nothing.
+    """Shuts an instance down in an order in which no caller loses an answer.
 
-    First the balancer is told and given time to send callers elsewhere; then
-    watches end at a point from which they can be resumed, the port is closed and
-    what is in flight is served to its end. Only then is ownership handed over:
-    whoever waits here for the end of its work needs the worker's reports.
+    First the load balancer is given time to send callers elsewhere. Then watches are
+    ended at a point from which they can be resumed, the listening socket is closed and
+    requests in flight are completed. Worker ownership is handed over only after that:
+    callers who wait here for the end of their work need the workers' reports.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.started = False
 
     def run(self) -> None:
-        """Drain and stop the server; later calls do nothing."""
+        """Drain and stop the server; further calls do nothing."""
         if self.started:
             return
         self.started = True
@@ -67,7 +67,7 @@
         log.info("drained")
 
     def _wait(self, deadline: float) -> None:
-        """Wait until nothing is in flight, or until the deadline."""
+        """Wait until no request is in flight, or until the deadline."""
         quiet = 0
         while quiet < IDLE_POLLS:
             if self.clock.monotonic() >= deadline:
--- a/src/mangosail/front/streams.py
+++ b/src/mangosail/front/streams.py
@@ -1,10 +1,10 @@
-"""Watches: streams of events that outlive the worker they are read from.
+"""Watches: streams of events that survive the loss of the worker they are read from.
 
-A watch follows one worker's stream at a time. When the stream breaks or goes
-silent, it goes on from another worker after the last event that was passed on,
-so the caller gets each event once. An empty line every few seconds shows that the
-watch is alive; a last line ``{"resume_after": n, "reason": ...}`` tells a caller
-whose watch ends early where to resume.
+A watch reads one worker's stream at a time. When the stream breaks or goes silent, the
+watch continues on another worker after the last event that it read, so the caller gets
+each event once. An empty line every few seconds serves as a keep-alive. If the watch
+ends early, the last line ``{"resume_after": n, "reason": ...}`` tells the caller where
+to resume.
 """
 
 import collections.abc as cabc
@@ -19,20 +19,21 @@
 from mangosail.placement import workers
 from mangosail.telemetry import counters as telemetry
 
-#: Seconds without an event after which the stream is taken up elsewhere.
+#: Seconds without an event after which the watch resumes on another worker, and after
+#: which the caller is sent a keep-alive line.
 EVENT_TIMEOUT_S = 5.0
-#: Seconds between attempts to take a stream up.
+#: Seconds between attempts to resume a stream.
 RESUME_INTERVAL_S = 0.25
-#: Seconds without an open stream after which a watch ends: the caller's next
-#: connection may reach an instance that has a worker to read from.
+#: Seconds without an open stream after which a watch ends: when the caller reconnects,
+#: it may reach an instance that has a worker to read from.
 NO_WORKER_TIMEOUT_S = 5.0
-#: Workers on which an opening is tried, however long the first ones took.
+#: Number of workers on which to try opening the stream, even after that timeout.
 MIN_WORKERS_TRIED = 2
-#: Events read ahead for a slow caller.
+#: Number of events buffered for a slow caller.
 READ_AHEAD = 16
-#: Watches that one instance carries.
+#: Maximum number of open watches per instance.
 MAX_WATCHES = 1024
-#: What a watch takes of its worker.
+#: Resources that a watch reserves on its worker.
 NEEDS = resources.Resources(connections=1)
 
 
@@ -43,7 +44,7 @@
 
 
 class Watches:
-    """All watches of this instance."""
+    """All open watches of this instance."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         counters: telemetry.Counters,
     ) -> None:
         self.owned_workers = owned_workers
-        #: Tells whether this instance may come to own a worker within seconds.
+        #: Returns whether this instance may acquire a worker within seconds.
         self.worker_expected = worker_expected
         self.clock = clock
         self.counters = counters
@@ -61,7 +62,7 @@
         self.draining = False
 
     def drain(self) -> None:
-        """End all watches where they can be resumed."""
+        """End all watches, at points from which they can be resumed."""
         self.draining = True
         for watch in list(self.open):
             watch.end("draining")
@@ -74,10 +75,10 @@
             return "too_many_watches"
         if self.owned_workers.fitting(NEEDS, durable=False):
             return ""
-        # An instance is ready as soon as a peer answers quotes in its place, up to 3 s
-        # before it owns a worker, and longer before it has read what runs there. A
-        # watch that came in between was refused although nothing was wrong; opened, it
-        # waits for the worker, at most `NO_WORKER_TIMEOUT_S`.
+        # An instance is ready as soon as a peer can serve quotes for it, up to 3 s
+        # before it owns a worker and longer before it has read that worker's tasks.
+        # Watches requested in between were refused although nothing was wrong. They are
+        # opened instead, and wait for a worker for at most `NO_WORKER_TIMEOUT_S`.
         starting = self.worker_expected() and not any(
             owned.ready for owned in self.owned_workers
         )
@@ -85,7 +86,7 @@
 
 
 class Watch:
-    """One caller's watch: a task reads events, the caller's task writes them."""
+    """One caller's watch: one greenlet reads events, the caller's one writes them."""
 
     def __init__(
         self,
@@ -98,16 +99,16 @@
         self.watches = watches
         self.task_id = task_id
         self.subject = subject
-        #: Sequence number of the last event that was handed to the caller.
+        #: Sequence number of the last event that was written to the caller.
         self.last_delivered = after
-        #: Sequence number of the last event that was read.
+        #: Sequence number of the last event that was read from a worker.
         self.last_read = after
         self.deadline = deadline
         self.lines: gevent.queue.Queue[dict[str, t.Any] | End] = gevent.queue.Queue(
             READ_AHEAD
         )
         self.end_reason = ""
-        #: Monotonic time at which the watch ends if no worker opens the stream.
+        #: Monotonic time at which the watch ends unless a worker opens the stream.
         self.open_deadline = watches.clock.monotonic() + NO_WORKER_TIMEOUT_S
         #: Workers tried since the last event.
         self.tried: set[str] = set()
@@ -125,7 +126,7 @@
             self.watches.counters.count("front.watch.closed")
 
     def end(self, reason: str) -> None:
-        """End the watch after the line that is being written."""
+        """End the watch after the line that is currently being written."""
         self.end_reason = reason
         if self.lines.empty():
             self.lines.put_nowait(End(reason))
@@ -154,7 +155,7 @@
         )
 
     def _read(self) -> None:
-        """Read from one worker after the other until the stream ends."""
+        """Read from one worker after another until the stream ends."""
         clock = self.watches.clock
         previous: workers.OwnedWorker | None = None
         while True:
@@ -176,10 +177,10 @@
         self.lines.put(End("no_worker"))
 
     def _may_try(self, owned: workers.OwnedWorker | None) -> bool:
-        """Tell whether a worker gets a try although the time for openings is over.
+        """Return whether to try a worker although the time for opening is over.
 
-        One worker that answers nothing takes all of it: a new watch was told that there
-        is no worker while others were well.
+        A single worker that does not answer uses up all of that time: without further
+        attempts, a new watch ended with ``no_worker`` while other workers were healthy.
         """
         if owned is None or owned.name in self.tried:
             return False
@@ -188,7 +189,7 @@
     def _choose_worker(
         self, previous: workers.OwnedWorker | None
     ) -> workers.OwnedWorker | None:
-        """Return a worker with a connection to spare, another one if possible."""
+        """Return a worker with a free connection, other than `previous` if possible."""
         fitting = self.watches.owned_workers.fitting(NEEDS, durable=False)
         others = [owned for owned in fitting if owned is not previous]
         if not others:
@@ -196,7 +197,7 @@
         return max(others, key=lambda owned: owned.ledger.free().connections)
 
     def _read_from(self, owned: workers.OwnedWorker) -> bool:
-        """Read from `owned`, and tell whether the stream came to its own end."""
+        """Read from `owned`, and return whether the stream ended regularly."""
         if not owned.ledger.reserve(self.task_id, NEEDS, durable=False):
             return False
         try:
@@ -213,7 +214,7 @@
             owned.ledger.release(self.task_id)
 
     def _accept_event(self, event: dict[str, t.Any]) -> None:
-        """Pass an event on unless it was passed on before."""
+        """Queue an event for the caller unless it was queued before."""
         self.open_deadline = (
             self.watches.clock.monotonic() + NO_WORKER_TIMEOUT_S + EVENT_TIMEOUT_S
         )
@@ -229,5 +230,5 @@
 
 
 def encode_line(line: dict[str, t.Any]) -> bytes:
-    """Return a line as it is written."""
+    """Return the bytes of a line."""
     return codec.to_json(line).encode() + b"\n"
--- a/src/mangosail/front/timing.py
+++ b/src/mangosail/front/timing.py
@@ -1,4 +1,4 @@
-"""Times of requests by class, and the request id in log lines."""
+"""Request timing by class, and the request id in log lines."""
 
 import falcon
 
@@ -7,22 +7,22 @@
 
 
 class Timing:
-    """Middleware that times each request of a class: quote, task, watch, batch.
+    """Middleware that times requests by class: quote, task, watch or batch.
 
-    A resource names the class in ``req.context.timed``. The time of a watch ends
-    where its stream begins.
+    The class is set in ``req.context.request_class``. The time of a watch ends where
+    its stream starts.
     """
 
     def __init__(self, front: context.Front) -> None:
         self.front = front
 
     def process_request(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Note when a request came."""
-        # A kept connection serves request after request in one greenlet: the
-        # id of the one before must not stand in this one's log lines.
+        """Record when a request was received."""
+        # A keep-alive connection serves all its requests in one greenlet: the id of the
+        # previous request must not appear in the log lines of this one.
         logs.REQUEST_ID.set(req.get_header("Request-Id") or "")
-        req.context.came_at = self.front.clock.monotonic()
-        req.context.timed = "batch" if req.path == "/v1/jobs" else ""
+        req.context.received_at = self.front.clock.monotonic()
+        req.context.request_class = "batch" if req.path == "/v1/jobs" else ""
 
     def process_response(
         self,
@@ -31,9 +31,9 @@
         resource: object,
         req_succeeded: bool,
     ) -> None:
-        """Record how long a request of a class took."""
-        timed = req.context.timed
-        if not timed or req.method not in ("GET", "POST"):
+        """Record the duration of a request that has a class."""
+        request_class = req.context.request_class
+        if not request_class or req.method not in ("GET", "POST"):
             return
-        seconds = self.front.clock.monotonic() - req.context.came_at
-        self.front.counters.time(f"front.time.{timed}", seconds)
+        seconds = self.front.clock.monotonic() - req.context.received_at
+        self.front.counters.time(f"front.time.{request_class}", seconds)
--- a/src/mangosail/front/watches.py
+++ b/src/mangosail/front/watches.py
@@ -20,8 +20,8 @@
         service: str,
         operation: str,
     ) -> None:
-        """Stream the events of ``subject`` past sequence number ``after``."""
-        request = self.front.read(req, service, operation)
+        """Stream the events of ``subject`` that follow sequence number ``after``."""
+        request = self.front.parse_request(req, service, operation)
         if request.declared.mode is not schema.Mode.WATCH:
             raise falcon.HTTPBadRequest(title="not_a_watch")
         subject = req.get_param("subject", required=True)
--- a/tests/front/environment.py
+++ b/tests/front/environment.py
@@ -1,4 +1,4 @@
-"""Three instances of one data centre behind the balancer, and two workers for each."""
+"""Three instances of one data centre behind a load balancer, with two workers each."""
 
 from tests.support import stage, teams
 
--- a/tests/front/front.feature
+++ b/tests/front/front.feature
@@ -1,8 +1,8 @@
-Feature: The front door
-  Whoever sends bad input is told why by its reason, and harms nobody else. A
-  planned stop cuts off nothing, and watches lose and repeat no event.
+Feature: The HTTP front end
+  Invalid input is refused with a reason and does not affect other callers. A planned
+  shutdown interrupts no request, and watches neither lose nor repeat events.
 
-  Scenario Outline: Bad input is refused by its reason and counted
+  Scenario Outline: Invalid input is refused with a reason and counted
     When "<bad>" is sent
     Then it is refused <status> "<title>" as JSON, and counted
 
@@ -31,17 +31,17 @@
       | a slow body           | 408    | slow_body           |
       | no HTTP               | 400    | malformed           |
 
-  Scenario: Hundreds of slow callers harm nobody else
-    200 callers send a byte now and then and never finish. Each holds one idle
-    connection only until its time for headers is over; quotes go on.
+  Scenario: Hundreds of slow callers do not affect others
+    200 callers send the start of a request and never finish it. Each may hold a
+    connection only until the timeout for headers; quotes are served meanwhile.
     When 200 callers send their headers a byte at a time
     Then quotes are answered within 0.5 s meanwhile
-    And all slow callers are told 408 within 8 s
+    And all slow callers are answered 408 within 8 s
 
-  Scenario Outline: A watch goes on when its worker is <fault>
-    The caller sees each event once, in order. Its worker is <fault> in the
-    middle; the instance takes the stream up at another worker, after the last
-    event that was passed on.
+  Scenario Outline: A watch continues when its worker is <fault>
+    The worker is <fault> in the middle of the stream. The instance must resume at
+    another worker after the last event, so that the caller gets each event once, in
+    order.
     When a tail number with 40 events is watched, and its worker is <fault>
     Then the events 1 to 40 come in order, the last within 20 s
 
@@ -50,48 +50,48 @@
       | black-holed |
       | killed      |
 
-  Scenario: A watch without any worker is told when to come back
+  Scenario: A watch without any worker is refused with Retry-After
     When an instance without workers is asked for a watch
     Then it is refused 503 "no_capacity" with Retry-After
 
-  Scenario: A watch waits for an instance that takes its workers back
-    An instance was frozen until its peers took its workers. It wakes up and is ready
-    at once, since a peer answers quotes for it, but owns no worker for 2 s more.
-    A caller whose watch came then was told 503 although nothing was wrong.
+  Scenario: A watch waits for an instance that is about to acquire workers
+    An instance was frozen until its peers acquired its workers. When it resumes it is
+    ready at once, since a peer answers quotes for it, but owns no worker for 2 s more.
+    Guards against watches refused with 503 during that time.
     When an instance that lost its workers wakes up and is asked for a watch at once
     Then the events 1 to 3 come in order, the last within 6 s
 
-  Scenario: A quote that failed at a peer is not called not_run
-    The instance owns no worker and passes the quote on. It runs at the peer's
-    workers and fails there; the caller must not be told that nothing ran.
+  Scenario: A quote that failed at a peer is not reported as not_run
+    The instance owns no worker and forwards the quote, which runs at the peer and fails
+    there. The caller must not be told that nothing ran.
     When a quote that fails everywhere is sent to an instance without workers
     Then it is refused 503 "target_failed" with Retry-After
     And its outcome is "unknown"
 
-  Scenario: An instance that has not read the settings calls no token unknown
-    The table is down while an instance starts. It can't tell a good token from
-    a revoked one; 401 would send an operator looking for a revoked token.
+  Scenario: An instance that has not read the settings reports no token as unknown
+    The table is down while an instance starts, so it can't tell a valid token from a
+    revoked one. With 401, an operator would look for a revoked token.
     When a token is sent to an instance that started while the table is down
     Then it is refused 503 "starting" with Retry-After
 
   Scenario: A quote is forwarded past a peer that froze
-    The caller's instance owns no worker. The first peer that it asks is frozen
-    for good; the other one is asked within the caller's time.
+    The instance owns no worker, and the first peer that it tries stays frozen. The other
+    one must be tried within the caller's time.
     When a peer of an instance without workers is frozen
     Then quotes at the instance without workers are answered within 1 s
 
   Scenario: Each instance in turn is stopped and replaced, and nobody notices
-    Callers ask through the balancer for quotes and releases, and one watches.
-    Each instance gets SIGTERM: it is not ready, serves what comes and what is
-    in flight, ends the watch at a point to resume from, and exits with 0.
+    Quotes, releases and a watch arrive through the load balancer. On SIGTERM an instance
+    becomes not ready, completes requests that arrive or are in flight, ends the watch at
+    a point from which it can be resumed, and exits with 0.
     When each instance in turn is stopped and replaced under load
     Then no request failed and no event of the watch was lost or doubled
     And each stopped instance exited with 0 within 10 s
 
-  Scenario: A fault of the program and too many requests get an answer each
-    A caller whose request meets a fault is told that its outcome is unknown and
-    nothing of the program's inside. Past the bound of requests in hand the
-    next is refused; the balancer's look is not.
-    Given an application whose settings can't be asked
+  Scenario: Internal errors and too many requests are answered
+    A caller whose request hits an internal error is told that its outcome is unknown,
+    without internal details. At the limit of concurrent requests the next one is
+    refused, but not the load balancer's probe.
+    Given an application in which reading a request raises an exception
     Then a request is answered 500 "internal_error" with outcome "unknown"
-    And with all requests in hand one more is answered 503 "overloaded"
+    And at the limit of concurrent requests one more is answered 503 "overloaded"
--- a/tests/front/steps/front_steps.py
+++ b/tests/front/steps/front_steps.py
@@ -18,9 +18,9 @@
 
 TOKEN = "fuel-desk-token"
 QUOTE = "/v1/services/fuel/quote"
-NUMBERS = itertools.count()
-#: What makes a good quote bad: method, path, body, changed headers.
-BAD = {
+SEQUENCE_NUMBERS = itertools.count()
+#: How each invalid request differs from a valid quote: method, path, body, headers.
+INVALID_REQUESTS = {
     "no token": {"headers": {"Authorization": ""}},
     "an unknown token": {"headers": {"Authorization": "Bearer x"}},
     "an unknown service": {"path": "/v1/services/fuel/none"},
@@ -46,7 +46,7 @@
 
 
 def raw_request(bad):
-    """Return the bytes of a request that is wrong in one way."""
+    """Return the bytes of a request that is invalid in one way."""
     if "head" in bad:
         return bad["head"]
     body = bad.get("body", b"{}")
@@ -68,7 +68,7 @@
 
 
 def read_answer(connection):
-    """Return the status and body of one raw answer."""
+    """Return the status and body of one raw response."""
     file = connection.makefile("rb")
     status = int(file.readline().split()[1])
     length = 0
@@ -85,15 +85,15 @@
 
 
 @when('"{bad}" is sent')
-def send_bad(context, bad):
+def send_invalid(context, bad):
     context.before = context.stage.counters("shymkent-0", TOKEN)
     with connect(context) as connection:
-        connection.sendall(raw_request(BAD[bad]))
+        connection.sendall(raw_request(INVALID_REQUESTS[bad]))
         context.answer = read_answer(connection)
 
 
 @then('it is refused {status:d} "{title}" as JSON, and counted')
-def bad_refused(context, status, title):
+def invalid_refused(context, status, title):
     assert context.answer[0] == status, context.answer
     body = json.loads(context.answer[1])
     assert body["title"] == title, body
@@ -104,7 +104,7 @@
 
 
 def quote(context, instance, **options):
-    number = next(NUMBERS)
+    number = next(SEQUENCE_NUMBERS)
     answer = context.stage.call(
         instance,
         "POST",
@@ -131,8 +131,8 @@
         assert answer.status == 200 and answer.seconds < seconds, answer
 
 
-@then("all slow callers are told {status:d} within {seconds:g} s")
-def told_slow(context, status, seconds):
+@then("all slow callers are answered {status:d} within {seconds:g} s")
+def slow_callers_refused(context, status, seconds):
     ends = time.monotonic() + seconds
     for connection in context.slow:
         with connection:
@@ -141,7 +141,7 @@
 
 
 def read_watch(address, subject, after, events):
-    """Read one watch to its end; return its last line."""
+    """Read a watch to its end, and return its last line."""
     path = f"/v1/watches/fuel/tail-watch?subject={subject}&after={after}"
     request = urllib.request.Request(
         f"http://{address}{path}", headers=teams.bearer(TOKEN)
@@ -186,7 +186,7 @@
     stage.wait_until(
         lambda: sum(len(status(context, n)["workers"]) for n in others) == 6,
         20,
-        "workers taken by the peers",
+        "workers acquired by the peers",
     )
     context.stage.thaw(name)
     context.stage.wait_ready(name)
@@ -204,7 +204,7 @@
     assert context.ended - context.started < seconds
 
 
-def start_bare(context):
+def start_without_workers(context):
     """Start an instance in a data centre that has no workers."""
     if "taraz-0" not in context.stage.instances:
         context.stage.start_instance("taraz-0", "taraz")
@@ -214,8 +214,8 @@
 
 
 @when("an instance without workers is asked for a watch")
-def bare_watch(context):
-    start_bare(context)
+def watch_without_workers(context):
+    start_without_workers(context)
     context.refused = context.stage.call(
         "taraz-0",
         "GET",
@@ -248,7 +248,7 @@
 
 @when("a quote that fails everywhere is sent to an instance without workers")
 def failing_quote(context):
-    start_bare(context)
+    start_without_workers(context)
     context.refused = context.stage.call(
         "taraz-0", "POST", QUOTE, {"fail": True}, teams.bearer(TOKEN)
     )
@@ -278,7 +278,7 @@
 
 @when("a peer of an instance without workers is frozen")
 def freeze_peer(context):
-    start_bare(context)
+    start_without_workers(context)
     for _ in range(100):
         answer = quote(context, "taraz-0")
         assert answer.status == 200, answer
@@ -287,7 +287,7 @@
 
 
 @then("quotes at the instance without workers are answered within {seconds:g} s")
-def bare_quotes(context, seconds):
+def quotes_without_workers(context, seconds):
     try:
         answers = [quote(context, "taraz-0") for _ in range(10)]
     finally:
@@ -298,7 +298,7 @@
 
 
 class Load:
-    """Quotes, releases and a watch through the balancer until it is stopped."""
+    """Sends quotes, releases and a watch through the load balancer until stopped."""
 
     def __init__(self, context):
         self.context = context
@@ -328,7 +328,7 @@
             "POST",
             "/v1/services/fuel/release",
             {"tail": "UP-1", "work_seconds": 0.3},
-            teams.bearer(TOKEN, Request_Id=f"release-{next(NUMBERS)}"),
+            teams.bearer(TOKEN, Request_Id=f"release-{next(SEQUENCE_NUMBERS)}"),
         )
 
     def watch(self):
@@ -349,7 +349,7 @@
 
 
 @when("each instance in turn is stopped and replaced under load")
-def replace_each(context):
+def replace_each_instance(context):
     load = context.load = Load(context)
     context.exits = []
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
@@ -369,7 +369,7 @@
                 http = context.stage.instances[name]
                 context.stage.start_instance(name, "shymkent", http=http)
                 context.stage.wait_ready(name)
-                # The balancer finds it ready at its next check.
+                # The load balancer notices at its next check that it is ready.
                 time.sleep(1.0)
         finally:
             load.stopped = True
@@ -388,12 +388,12 @@
     assert all(c == code and s < seconds for c, s in context.exits), context.exits
 
 
-@given("an application whose settings can't be asked")
+@given("an application in which reading a request raises an exception")
 def broken_application(context):
     front = mock.MagicMock()
     front.counters = context.counted = counters.StatsdCounters(None, 0)
     front.clock.monotonic = time.monotonic
-    front.read.side_effect = ZeroDivisionError("inner workings")
+    front.parse_request.side_effect = ZeroDivisionError("inner workings")
     context.gate = server.RequestLimiter(
         app.create(front, mock.MagicMock()), front.counters
     )
@@ -401,8 +401,8 @@
 
 def refused_inside(context, status, title, outcome):
     answer = testing.TestClient(context.gate).simulate_post(QUOTE, json={})
-    told = (answer.status_code, answer.json["title"], answer.json["outcome"])
-    assert told == (status, title, outcome), answer.text
+    answered = (answer.status_code, answer.json["title"], answer.json["outcome"])
+    assert answered == (status, title, outcome), answer.text
     assert "inner workings" not in answer.text and "Traceback" not in answer.text
     return answer
 
@@ -411,14 +411,14 @@
 def fault(context, status, title, outcome):
     refused_inside(context, status, title, outcome)
     assert context.counted.snapshot() == {"front.internal_error": 1}
-    assert context.gate.in_hand == 0
+    assert context.gate.in_flight == 0
 
 
-@then('with all requests in hand one more is answered {status:d} "{title}"')
+@then('at the limit of concurrent requests one more is answered {status:d} "{title}"')
 def overloaded(context, status, title):
-    context.gate.in_hand = server.MAX_REQUESTS
+    context.gate.in_flight = server.MAX_REQUESTS
     answer = refused_inside(context, status, title, "not_run")
     assert answer.headers["retry-after"] == str(server.RETRY_AFTER_S)
     assert context.counted.snapshot()["front.refused.overloaded"] == 1
-    looked = testing.TestClient(context.gate).simulate_get("/healthz")
-    assert looked.status_code == 200
+    probe = testing.TestClient(context.gate).simulate_get("/healthz")
+    assert probe.status_code == 200
