--- a/src/mangosail/clock.py
+++ b/src/mangosail/clock.py
@@ -1,8 +1,8 @@
 """Clocks: monotonic time for deadlines in a process, wall time between processes.
 
-Deadlines are stored, never durations. A wall-clock deadline that crosses a
-process boundary is shortened by `CLOCK_SKEW_MARGIN_S` on the receiving side's
-behalf, so that the sender's view of it always ends later.
+Deadlines are stored, never durations. A wall-clock deadline that crosses a process
+boundary is shortened by `CLOCK_SKEW_MARGIN_S` on the receiving side's behalf, so that
+it always passes later from the sender's point of view.
 """
 
 import time
@@ -10,12 +10,12 @@
 
 import gevent
 
-#: Largest difference in seconds between two wall clocks that leases allow for.
+#: Largest difference in seconds between two wall clocks that leases tolerate.
 CLOCK_SKEW_MARGIN_S = 0.25
 
 
 class Clock(t.Protocol):
-    """Time as the rest of the program sees it, in seconds."""
+    """The source of time for the rest of the program, in seconds."""
 
     def monotonic(self) -> float:
         """Return seconds that never go backwards within this process."""
@@ -31,7 +31,7 @@
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The system's clocks."""
 
     def monotonic(self) -> float:
         """Return seconds that never go backwards within this process."""
@@ -40,8 +40,8 @@
     def elapsed(self) -> float:
         """Return seconds that also pass while the machine is suspended.
 
-        A holder that was suspended would believe its lapsed lease by the
-        monotonic clock, which stands still meanwhile.
+        The monotonic clock stops during suspension, so by that clock a holder that was
+        suspended would still consider its expired lease valid.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/src/mangosail/codec.py
+++ b/src/mangosail/codec.py
@@ -1,6 +1,6 @@
-"""Encoding of messages: JSON towards the outside, MessagePack between instances.
+"""Encoding of messages: JSON for external clients, MessagePack between instances.
 
-Both work on frozen data classes, which are checked while they are decoded::
+Both work on frozen data classes, which are validated when they are decoded::
 
     >>> text = to_json(Row("a", "1", 3))
     >>> from_json(text, Row)
@@ -13,8 +13,8 @@
 
 T = t.TypeVar("T")
 
-#: What decoding fails with. Text that is nested too deep, or holds half of a character
-#: that takes two, ends in the last two.
+#: Exceptions raised by decoding. The last two come from text that is nested too deeply,
+#: and from text with a lone surrogate.
 DECODE_ERRORS = (
     msgspec.DecodeError,
     msgspec.ValidationError,
@@ -24,7 +24,7 @@
 
 
 class DecodeError(ValueError):
-    """The bytes are not the message that was expected; the text says where."""
+    """The data is not a valid message of the expected type; the text says where."""
 
 
 def to_json(message: t.Any) -> str:
@@ -33,9 +33,9 @@
 
 
 def from_json(text: str | bytes, kind: type[T], strict: bool = True) -> T:
-    """Return the `kind` that `text` holds, or raise `DecodeError`.
+    """Decode `text` as a `kind`, or raise `DecodeError`.
 
-    If not `strict`, numbers may come as text.
+    If not `strict`, numbers may be given as strings.
     """
     try:
         return msgspec.json.decode(text, type=kind, strict=strict)
@@ -49,7 +49,7 @@
 
 
 def from_msgpack(data: bytes, kind: type[T]) -> T:
-    """Return the `kind` that `data` holds, or raise `DecodeError`."""
+    """Decode `data` as a `kind`, or raise `DecodeError`."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except DECODE_ERRORS as exc:
--- a/src/mangosail/errors.py
+++ b/src/mangosail/errors.py
@@ -1,8 +1,8 @@
-"""The common base of every error that mangosail raises.
+"""The base class of all exceptions raised by mangosail.
 
-Errors that a caller is expected to handle travel as ``result.Err`` values and
-are frozen data classes of the layer they belong to. Exceptions are kept for
-faults in the program or its process settings.
+Errors that a caller is expected to handle are returned as ``result.Err`` values and are
+frozen data classes of the package they belong to. Exceptions are reserved for bugs in
+the program and mistakes in its process settings.
 """
 
 
@@ -11,4 +11,4 @@
 
 
 class ConfigurationError(MangosailError):
-    """A process setting is missing or wrong; the message names it."""
+    """A process setting is missing or invalid; the message names it."""
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: puts the slices together and serves until it is stopped."""
+"""One entry instance: wires the components together and serves until stopped."""
 
 import random
 import signal
@@ -42,14 +42,14 @@
 
 log = logbook.Logger("instance")
 
-#: Seconds between readings of the table and of the platform's list.
+#: Seconds between reads of the table and of the platform's list.
 REFRESH_INTERVAL_S = 1.0
 
 
 class Instance:
-    """An entry instance, made from its process settings.
+    """An entry instance, created from its process settings.
 
-    Parts come after those that they are made of; `run` starts their tasks.
+    Components are created after those that they depend on; `run` starts their tasks.
     """
 
     def __init__(self, settings: process.ProcessSettings) -> None:
@@ -64,7 +64,7 @@
         self._create_front()
 
     def _create_platform_clients(self) -> None:
-        """Make what is read from and written to the platform."""
+        """Create the clients of the platform, and the settings read through them."""
         caller = platform_caller.Caller(
             self.process_settings.platform_address,
             headers={"X-Instance": self.process_settings.instance},
@@ -83,19 +83,19 @@
         )
 
     def _seed(self) -> int:
-        """Return the seed that was set, or one drawn for each who asks."""
+        """Return the configured seed, or else a new random one on each call."""
         return self.process_settings.seed or random.getrandbits(32)
 
     def _may_own_workers(self) -> bool:
-        """Tell whether this instance may come to own a worker within seconds.
+        """Return whether this instance may acquire a worker within seconds.
 
-        Without the table it can take none: a caller's watch waited 5 s for nothing.
+        It can't while the table is unreachable: a watch would wait for 5 s in vain.
         """
         listed = self.listed.live(self.process_settings.data_centre)
         return bool(listed) and self.lease.may_claim()
 
     def _create_peers(self) -> None:
-        """Make what is asked of peers and told to them."""
+        """Create the components that communicate with peers."""
         self.peers = membership.Peers(
             self.process_settings.instance,
             self.process_settings.data_centre,
@@ -109,7 +109,7 @@
         )
 
     def _create_ownership(self) -> None:
-        """Make what takes workers into ownership and starts work there."""
+        """Create the components that acquire workers and start work on them."""
         row = session.new_session_row(
             self.process_settings.instance,
             self.process_settings.data_centre,
@@ -160,7 +160,7 @@
         )
 
     def _create_jobs(self) -> None:
-        """Make what sees to batch jobs, on own workers and at peers."""
+        """Create the components that run batch jobs, on own workers and at peers."""
         self.room = room.Room(
             self.workers, self.placer, self.runner, self.clock, self.counters
         )
@@ -188,11 +188,11 @@
         )
 
     def _create_front(self) -> None:
-        """Make what serves callers, operators and peers."""
-        seen = tails.Tails()
+        """Create the components that serve callers, operators and peers."""
+        tail_latencies = tails.Tails()
         self.control = loop.ControlLoop(
             self.workers,
-            seen,
+            tail_latencies,
             self.runner,
             self.settings,
             self.lease,
@@ -202,7 +202,12 @@
         self.front = context.Front(
             settings=self.settings,
             quotes=quotes.Quotes(
-                self.placer, self.peers, self.lease, self.clock, self.counters, seen
+                self.placer,
+                self.peers,
+                self.lease,
+                self.clock,
+                self.counters,
+                tail_latencies,
             ),
             runner=self.runner,
             jobs=self.jobs,
@@ -237,7 +242,8 @@
 
     def run(self) -> None:
         """Serve until the process is stopped."""
-        # Dropped, the server would be collected and would stop listening.
+        # Keep a reference: without one the server would be garbage collected and would
+        # stop listening.
         peer_server = rpc.serve(
             self._rpc_handlers(),
             self.process_settings.peer_address,
@@ -260,7 +266,7 @@
     def heartbeat_message(
         self, asks_for_peers: bool = False
     ) -> peer_messages.Heartbeat:
-        """Return our state as peers are told it."""
+        """Return our state as sent to peers."""
         return peer_messages.Heartbeat(
             self.process_settings.instance,
             self.lease.row.incarnation,
@@ -274,7 +280,7 @@
         )
 
     def _rpc_handlers(self) -> tuple[rpc.MethodHandler, ...]:
-        """Return what each of the peers' methods is answered by."""
+        """Return the handlers of all methods that peers may call."""
         front = peering.PeerHandlers(self.front)
         return (
             methods.HEARTBEAT.with_handler(self.peers.handle_heartbeat),
@@ -288,24 +294,24 @@
         )
 
     def _start_tasks(self) -> None:
-        loops = upkeep.PeriodicTasks(self.clock, self.counters)
-        loops.start(self.upkeep.renew, session.RENEWAL_INTERVAL_S)
-        loops.start(self.upkeep.refresh, REFRESH_INTERVAL_S)
+        periodic_tasks = upkeep.PeriodicTasks(self.clock, self.counters)
+        periodic_tasks.start(self.upkeep.renew, session.RENEWAL_INTERVAL_S)
+        periodic_tasks.start(self.upkeep.refresh, REFRESH_INTERVAL_S)
         gevent.spawn(self.group_commit.run)
-        loops.start(self.runner.sweep, REFRESH_INTERVAL_S)
-        loops.start(self.settings.refresh, REFRESH_INTERVAL_S)
-        loops.start(self.spread.learn, spread.LEARN_INTERVAL)
+        periodic_tasks.start(self.runner.sweep, REFRESH_INTERVAL_S)
+        periodic_tasks.start(self.settings.refresh, REFRESH_INTERVAL_S)
+        periodic_tasks.start(self.spread.learn, spread.LEARN_INTERVAL)
         gevent.spawn(self.jobs.place_forever)
         if self.process_settings.control is process.Control.ON:
-            loops.start(self.control.step, loop.INTERVAL_S)
-        loops.start(self.jobs.recorder.record, recording.RECORD_INTERVAL_S)
-        loops.start(self.takeover.refresh, REFRESH_INTERVAL_S)
+            periodic_tasks.start(self.control.step, loop.INTERVAL_S)
+        periodic_tasks.start(self.jobs.recorder.record, recording.RECORD_INTERVAL_S)
+        periodic_tasks.start(self.takeover.refresh, REFRESH_INTERVAL_S)
         gevent.spawn(self.counters.flush_forever)
         if self.keys is not None:
             gevent.spawn(self.keys.watch_forever)
 
     def _drain(self, httpd: server.Server, peer_server: grpc.Server) -> stopping.Drain:
-        """Return the planned stop, which ends by handing all workers over."""
+        """Return the planned shutdown, which ends by handing over all workers."""
 
         def stop_peers(grace: float) -> None:
             peer_server.stop(grace).wait(grace)
@@ -324,7 +330,7 @@
 def make_keys(
     settings: process.ProcessSettings, counters: telemetry.Counters
 ) -> keys.KeyStore | None:
-    """Return the keys, or None where plain text was asked for."""
+    """Return the TLS keys, or None if plain text is configured."""
     if settings.plaintext:
         return None
     sources = keys.Sources(
@@ -336,7 +342,7 @@
 
 
 def make_counters(settings: process.ProcessSettings) -> telemetry.StatsdCounters:
-    """Return the counters, sent to statsd if an address is set."""
+    """Return the counters, which are sent to statsd if an address is configured."""
     if settings.statsd_address is None:
         return telemetry.StatsdCounters(None, 0)
     host, _, port = settings.statsd_address.rpartition(":")
--- a/src/mangosail/resources.py
+++ b/src/mangosail/resources.py
@@ -1,13 +1,13 @@
-"""Amounts of what a worker has and a task needs."""
+"""Resource amounts: what a worker has, and what a task needs."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resources:
-    """Processors, memory, accelerators, slots and connections.
+    """CPU cores, memory in GB, and numbers of accelerators, slots and connections.
 
-    `cpus` are cores, `memory_gb` gigabytes; the others are counts::
+    Amounts can be added and subtracted::
 
         >>> Resources(cpus=2) + Resources(cpus=1, slots=1)
         Resources(cpus=3.0, memory_gb=0.0, accelerators=0, slots=1, connections=0)
@@ -38,7 +38,7 @@
         )
 
     def fits_in(self, other: "Resources") -> bool:
-        """Tell whether `other` has at least this much of everything."""
+        """Return whether `other` has at least this much of every resource."""
         return (
             self.cpus <= other.cpus + 1e-9
             and self.memory_gb <= other.memory_gb + 1e-9
@@ -48,7 +48,7 @@
         )
 
     def halved(self) -> "Resources":
-        """Return half of everything, counts rounded down."""
+        """Return half of every resource, with counts rounded down."""
         return Resources(
             self.cpus / 2,
             self.memory_gb / 2,
@@ -58,7 +58,7 @@
         )
 
     def largest(self, other: "Resources") -> "Resources":
-        """Return the larger of the two in each component."""
+        """Return the element-wise maximum of the two."""
         return Resources(
             max(self.cpus, other.cpus),
             max(self.memory_gb, other.memory_gb),
--- a/tests/path/environment.py
+++ b/tests/path/environment.py
@@ -1,4 +1,4 @@
-"""One stage for all scenarios of the whole path: two data centres."""
+"""One test deployment for all end-to-end scenarios, with two data centres."""
 
 from tests.support import stage, teams
 
--- a/tests/path/steps/path_steps.py
+++ b/tests/path/steps/path_steps.py
@@ -34,7 +34,7 @@
     }
 
 
-@then("each answer carries its own request")
+@then("each answer contains its own request")
 def own_answers(context):
     for name, answer in context.answers.items():
         assert answer.status == 200, (name, answer)
@@ -58,7 +58,7 @@
     context.second = order(context, "taraz-1", request_id, litres=9999)
 
 
-@then("both are told that it completed")
+@then("both answers say that it completed")
 def both_completed(context):
     for answer in (context.first, context.second):
         assert answer.json()["outcome"] == "completed", answer
@@ -80,18 +80,18 @@
 @when("a tail number with {count:d} events is watched")
 def watch(context, count):
     context.subject = f"UP-B3701:{count}"
-    context.events = watched(context, 0)
+    context.events = read_events(context, 0)
 
 
 @when("it is watched again after event {after:d}")
 def watch_after(context, after):
-    context.events = watched(context, after)
+    context.events = read_events(context, after)
 
 
-def watched(context, after):
-    """Return the events; a caller that is told when to come back does so.
+def read_events(context, after):
+    """Return the events, retrying while refused with Retry-After.
 
-    An instance is ready once a peer can serve for it, and may not own a worker
+    An instance is ready once a peer can serve quotes for it, and may not own a worker
     yet, which a watch needs.
     """
 
@@ -102,9 +102,9 @@
             f"/v1/watches/fuel/tail-watch?subject={context.subject}&after={after}",
             headers=headers(),
         )
-        told = answer.status == 503 and "retry-after" in answer.headers
-        assert answer.status == 200 or told, answer
-        return None if told else answer
+        refused = answer.status == 503 and "retry-after" in answer.headers
+        assert answer.status == 200 or refused, answer
+        return None if refused else answer
 
     answer = stage.wait_until(open_watch, 10, "watch")
     return [json.loads(line) for line in answer.body.splitlines()]
