--- a/src/mangosail/settings/changes.py
+++ b/src/mangosail/settings/changes.py
@@ -23,15 +23,15 @@
 log = logbook.Logger("settings")
 
 #: Seconds that a change may take until it is answered.
-CHANGE_TERM = 5.0
+CHANGE_TIMEOUT_S = 5.0
 #: Longest pause in seconds before a change that lost a race tries again.
-LONGEST_PAUSE = 0.05
+MAX_RETRY_INTERVAL_S = 0.05
 #: Revisions of a team, and their change ids, that are kept.
-KEPT_REVISIONS = 500
+MAX_REVISIONS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Present:
+class TableState:
     """What the table held when a change was tried."""
 
     subtree: messages.Subtree | None
@@ -77,28 +77,28 @@
         self, team: str, change: messages.Change, author: str
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
         """Make `change`; accepted means that it stands."""
-        deadline = self.clock.monotonic() + CHANGE_TERM
+        deadline = self.clock.monotonic() + CHANGE_TIMEOUT_S
         reason, lost = "contended", False
         while self.clock.monotonic() < deadline:
             present = self._read(team, change)
             if isinstance(present, result.Err):
                 return self._undecided(change, "store_unavailable", lost)
-            done = self._already(team, change, present.ok_value)
+            done = self._previous_answer(team, change, present.ok_value)
             if done is not None:
                 return done
             if self.clock.monotonic() < self.in_force.peers_deadline:
                 reason = "peers_not_heard"
-                self.clock.sleep(LONGEST_PAUSE)
+                self.clock.sleep(MAX_RETRY_INTERVAL_S)
                 continue
             if self.in_force.sequence < present.ok_value.changes.sequence:
                 # Whether a token is another team's is told by what is in force.
                 self.in_force.refresh()
-            if present.ok_value.changes.sequence < self.in_force.highest:
+            if present.ok_value.changes.sequence < self.in_force.max_sequence:
                 # Read before a change that we know of, or the table lost
                 # changes, which are being written back: this one, based on
                 # its content, would undo them.
                 reason = "table_behind"
-                self.clock.sleep(LONGEST_PAUSE)
+                self.clock.sleep(MAX_RETRY_INTERVAL_S)
                 continue
             planned = self._plan(team, change, author, present.ok_value)
             if isinstance(planned, result.Err):
@@ -116,7 +116,7 @@
             else:
                 self.counters.count("settings.retry.raced")
             reason = "contended"
-            self.clock.sleep(self.random.uniform(0, LONGEST_PAUSE))
+            self.clock.sleep(self.random.uniform(0, MAX_RETRY_INTERVAL_S))
         return self._undecided(change, reason, lost)
 
     def preview(
@@ -129,7 +129,7 @@
         planned = self._plan(team, change, author, present.ok_value)
         if isinstance(planned, result.Err):
             return planned
-        return result.Ok(accepted(planned.ok_value, present.ok_value))
+        return result.Ok(accepted_answer(planned.ok_value, present.ok_value))
 
     def read(
         self, team: str
@@ -166,16 +166,16 @@
 
     def _read(
         self, team: str, change: messages.Change
-    ) -> result.Result[Present, platform_errors.Unavailable]:
+    ) -> result.Result[TableState, platform_errors.Unavailable]:
         team_key = messages.team_key(team)
         change_key = messages.change_key(team, change.change_id)
         earlier_key = messages.history_key(team, change.content_of or 0)
         next_revision = change.revision + 1
-        dropped_key = messages.history_key(team, next_revision - KEPT_REVISIONS)
+        dropped_key = messages.history_key(team, next_revision - MAX_REVISIONS)
         keys = [team_key, messages.CHANGES_KEY, change_key]
         if change.content_of is not None:
             keys.append(earlier_key)
-        if next_revision > KEPT_REVISIONS:
+        if next_revision > MAX_REVISIONS:
             keys.append(dropped_key)
         found = self.rows.read(keys)
         if isinstance(found, result.Err):
@@ -183,7 +183,7 @@
         rows = found.ok_value
         changes, changes_version = state.changes_of(rows)
         return result.Ok(
-            Present(
+            TableState(
                 subtree_at(rows, team_key),
                 rows[team_key].version if team_key in rows else table.ABSENT,
                 changes,
@@ -196,14 +196,14 @@
             )
         )
 
-    def _already(
-        self, team: str, change: messages.Change, present: Present
+    def _previous_answer(
+        self, team: str, change: messages.Change, present: TableState
     ) -> result.Result[messages.Accepted, errors.ChangeError] | None:
         """Return the first answer if the change id is known."""
         record = present.record
         if record is None:
             return None
-        if record.digest != digest_of(change):
+        if record.digest != change_digest(change):
             self.counters.count("settings.refused.change_id_conflict")
             return result.Err(errors.ChangeIdConflict(record.revision))
         first = self.rows.read([messages.history_key(team, record.revision)])
@@ -224,7 +224,7 @@
         )
 
     def _plan(
-        self, team: str, change: messages.Change, author: str, present: Present
+        self, team: str, change: messages.Change, author: str, present: TableState
     ) -> result.Result[messages.Subtree, errors.ChangeError]:
         """Return the subtree that the change would write."""
         if change.revision != present.revision:
@@ -237,14 +237,14 @@
                     by.changed_at if by else 0.0,
                 )
             )
-        content = self._content(change, present)
+        content = self._new_content(change, present)
         if isinstance(content, result.Err):
             return content
         checked = checks.check(content.ok_value)
         if isinstance(checked, result.Err):
             self.counters.count("settings.refused.bad_settings")
             return checked
-        taken = self._taken(team, checked.ok_value)
+        taken = self._foreign_token_faults(team, checked.ok_value)
         if taken:
             self.counters.count("settings.refused.bad_settings")
             return result.Err(errors.BadSettings(taken))
@@ -261,22 +261,24 @@
             )
         )
 
-    def _taken(
+    def _foreign_token_faults(
         self, team: str, settings: schema.TeamSettings
     ) -> tuple[errors.Fault, ...]:
         """Return a fault for each token whose hash is another team's."""
-        known = self.in_force.by_digest
+        known = self.in_force.identity_by_digest
         return tuple(
             errors.Fault(f"tokens.{n}.sha256", checks.HIDDEN, "a token of this team")
             for n, token in enumerate(settings.tokens)
             if token.sha256 in known and known[token.sha256].team != team
         )
 
-    def _content(
-        self, change: messages.Change, present: Present
+    def _new_content(
+        self, change: messages.Change, present: TableState
     ) -> result.Result[t.Any, errors.ChangeError]:
         if change.content_of is None:
-            return result.Ok(checks.with_hashes(change.content, present.content))
+            return result.Ok(
+                checks.restore_token_hashes(change.content, present.content)
+            )
         if present.earlier is None:
             self.counters.count("settings.refused.unknown_revision")
             return result.Err(errors.UnknownRevision(change.content_of))
@@ -287,14 +289,14 @@
         return result.Ok(content)
 
     def _commit(
-        self, change: messages.Change, subtree: messages.Subtree, present: Present
+        self, change: messages.Change, subtree: messages.Subtree, present: TableState
     ) -> result.Result[int, platform_errors.CommitError]:
         team = subtree.team
         change_key = messages.change_key(team, change.change_id)
         record = messages.ChangeRecord(
-            subtree.revision, digest_of(change), subtree.changed_at
+            subtree.revision, change_digest(change), subtree.changed_at
         )
-        moved = present.changes.followed_by(subtree.sequence, team)
+        moved = present.changes.with_change(subtree.sequence, team)
         text = codec.to_json(subtree)
         writes = [
             table.Write(messages.team_key(team), text),
@@ -318,7 +320,7 @@
         return self.rows.commit(table.Transaction(checked, tuple(writes)))
 
     def _accept(
-        self, subtree: messages.Subtree, present: Present
+        self, subtree: messages.Subtree, present: TableState
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
         self.counters.count("settings.accepted")
         log.info(
@@ -332,7 +334,7 @@
             self.in_force.learn(messages.Delta(subtree.sequence, (subtree,)))
         else:
             self.in_force.apply(subtree)
-        return result.Ok(accepted(subtree, present))
+        return result.Ok(accepted_answer(subtree, present))
 
     def _undecided(
         self, change: messages.Change, reason: str, lost: bool = False
@@ -343,7 +345,9 @@
         return result.Err(errors.Undecided(change.change_id, reason))
 
 
-def accepted(subtree: messages.Subtree, present: Present) -> messages.Accepted:
+def accepted_answer(
+    subtree: messages.Subtree, present: TableState
+) -> messages.Accepted:
     """Return the answer to a change that wrote `subtree`."""
     return messages.Accepted(
         subtree.team,
@@ -355,7 +359,7 @@
     )
 
 
-def digest_of(change: messages.Change) -> str:
+def change_digest(change: messages.Change) -> str:
     """Return what tells two changes under one id apart."""
     text = codec.to_json((change.revision, change.content, change.content_of))
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/mangosail/settings/checks.py
+++ b/src/mangosail/settings/checks.py
@@ -15,9 +15,9 @@
 from mangosail.settings import errors, schema
 
 #: Largest content of a subtree, in bytes of JSON.
-CONTENT_LIMIT = 64 * 1024
+MAX_CONTENT_BYTES = 64 * 1024
 #: Longest text of a wrong value that is shown.
-SHOWN_LENGTH = 80
+MAX_SHOWN_LENGTH = 80
 #: Stands for a value that must not be shown.
 HIDDEN = "hidden"
 
@@ -27,20 +27,20 @@
 ) -> result.Result[schema.TeamSettings, errors.BadSettings]:
     """Return the settings that `content` holds, or everything wrong with it."""
     size = len(codec.to_json(content))
-    if size > CONTENT_LIMIT:
-        fault = errors.Fault("", f"{size} bytes", f"at most {CONTENT_LIMIT} bytes")
+    if size > MAX_CONTENT_BYTES:
+        fault = errors.Fault("", f"{size} bytes", f"at most {MAX_CONTENT_BYTES} bytes")
         return result.Err(errors.BadSettings((fault,)))
     try:
         return result.Ok(schema.TeamSettings.model_validate(content))
     except pydantic.ValidationError as exc:
         found = exc.errors(include_url=False, include_context=False)
-        return result.Err(errors.BadSettings(tuple(fault_of(e) for e in found)))
+        return result.Err(errors.BadSettings(tuple(to_fault(e) for e in found)))
 
 
-def fault_of(error: t.Any) -> errors.Fault:
+def to_fault(error: t.Any) -> errors.Fault:
     """Return a validation error as a path, a value and what was expected."""
     path = ".".join(str(part) for part in error["loc"] if part != "[key]")
-    return errors.Fault(path, shown(path, error["input"]), expected(error))
+    return errors.Fault(path, redacted(path, error["input"]), expected(error))
 
 
 def expected(error: t.Any) -> str:
@@ -55,7 +55,7 @@
     return text
 
 
-def shown(path: str, value: t.Any) -> t.Any:
+def redacted(path: str, value: t.Any) -> t.Any:
     """Return `value` as it may be shown: short, and nothing of a token."""
     if path.split(".")[0] == "tokens":
         return HIDDEN
@@ -64,11 +64,11 @@
     if isinstance(value, list | tuple):
         return f"list of {len(value)} items"
     if isinstance(value, str):
-        return value[:SHOWN_LENGTH]
+        return value[:MAX_SHOWN_LENGTH]
     return value
 
 
-def with_hashes(content: t.Any, present: dict[str, t.Any]) -> t.Any:
+def restore_token_hashes(content: t.Any, present: dict[str, t.Any]) -> t.Any:
     """Return `content` with the hashes of tokens that it names without one.
 
     Answers never show a hash, so an operator who edits what was read sends
@@ -77,10 +77,13 @@
     if not isinstance(content, dict) or not isinstance(content.get("tokens"), list):
         return content
     hashes = {e["name"]: e["sha256"] for e in present.get("tokens", [])}
-    return {**content, "tokens": [_filled(e, hashes) for e in content["tokens"]]}
+    return {
+        **content,
+        "tokens": [_with_known_hash(e, hashes) for e in content["tokens"]],
+    }
 
 
-def _filled(entry: t.Any, hashes: dict[str, str]) -> t.Any:
+def _with_known_hash(entry: t.Any, hashes: dict[str, str]) -> t.Any:
     if not isinstance(entry, dict) or "sha256" in entry:
         return entry
     known = hashes.get(str(entry.get("name")))
--- a/src/mangosail/settings/messages.py
+++ b/src/mangosail/settings/messages.py
@@ -8,7 +8,7 @@
 #: The row that every change moves on, and that instances read to learn of one.
 CHANGES_KEY = "settings/changes"
 #: Changes that `Changes` names; an instance further behind reads all subtrees.
-RECENT_CHANGES = 32
+MAX_RECENT_CHANGES = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,10 +60,10 @@
             return None
         return sorted({r.team for r in self.recent if r.sequence > sequence})
 
-    def followed_by(self, sequence: int, *teams: str) -> "Changes":
+    def with_change(self, sequence: int, *teams: str) -> "Changes":
         """Return the row after a change of `teams`, numbered `sequence`."""
         added = tuple(Recent(sequence, team) for team in teams)
-        return Changes(sequence, (*self.recent, *added)[-RECENT_CHANGES:])
+        return Changes(sequence, (*self.recent, *added)[-MAX_RECENT_CHANGES:])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/mangosail/settings/schema.py
+++ b/src/mangosail/settings/schema.py
@@ -44,9 +44,9 @@
 Name = t.Annotated[str, pydantic.StringConstraints(pattern="^[a-z0-9][a-z0-9-]{0,62}$")]
 
 #: Most services of a team, operations of a service, and tokens of a team.
-MOST_SERVICES = 64
-MOST_OPERATIONS = 64
-MOST_TOKENS = 256
+MAX_SERVICES = 64
+MAX_OPERATIONS = 64
+MAX_TOKENS = 256
 
 
 class Needs(Strict):
@@ -124,10 +124,10 @@
 
     services: dict[
         Name,
-        t.Annotated[dict[Name, Operation], pydantic.Field(max_length=MOST_OPERATIONS)],
+        t.Annotated[dict[Name, Operation], pydantic.Field(max_length=MAX_OPERATIONS)],
     ] = pydantic.Field(
         default_factory=dict,
-        max_length=MOST_SERVICES,
+        max_length=MAX_SERVICES,
         description="Operations by service and name.",
     )
     quota: Quota = pydantic.Field(
@@ -142,7 +142,7 @@
         False, description="Whether the team may submit urgent work."
     )
     tokens: tuple[Token, ...] = pydantic.Field(
-        (), max_length=MOST_TOKENS, description="Who may call, and who may operate."
+        (), max_length=MAX_TOKENS, description="Who may call, and who may operate."
     )
 
     @pydantic.field_validator("weights")
--- a/src/mangosail/settings/spread.py
+++ b/src/mangosail/settings/spread.py
@@ -17,16 +17,16 @@
 #: Seconds between looks at what peers have in force.
 LEARN_INTERVAL = 0.5
 #: Seconds that a peer may take to tell its settings.
-LEARN_TIMEOUT = 2.0
+LEARN_TIMEOUT_S = 2.0
 #: Seconds after its start that an instance makes no change while it has heard
 #: of no peer; one that is alone makes changes after them.
-HEARD_TERM = 3.0
+PEER_WAIT_S = 3.0
 #: Peers that are asked in one look.
-PEERS_ASKED = 3
+MAX_PEERS_ASKED = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holder:
+class InstanceRollout:
     """An instance, and whether a change is in force there."""
 
     instance: str
@@ -46,7 +46,7 @@
     revision: int
     #: Each data centre, and whether every reachable instance there has it.
     data_centres: dict[str, bool]
-    instances: tuple[Holder, ...]
+    instances: tuple[InstanceRollout, ...]
 
 
 class Spread:
@@ -63,7 +63,7 @@
         self.peers = peers
         self.data_centre = data_centre
         self.counters = counters
-        in_force.peers_deadline = in_force.clock.monotonic() + HEARD_TERM
+        in_force.peers_deadline = in_force.clock.monotonic() + PEER_WAIT_S
 
     def learn(self) -> None:
         """Ask the peers that are furthest on for what we lack."""
@@ -73,17 +73,17 @@
             if peer.state is not None
         )
         # Of peers reachable now only: one that is gone writes nothing back.
-        self.in_force.heard = -ahead[0][0] if ahead else 0
+        self.in_force.peers_sequence = -ahead[0][0] if ahead else 0
         self._learn_from(ahead)
-        if ahead and self.in_force.sequence >= self.in_force.heard:
+        if ahead and self.in_force.sequence >= self.in_force.peers_sequence:
             self.in_force.peers_deadline = 0.0
 
     def _learn_from(self, ahead: list[tuple[int, str, membership.Peer]]) -> None:
-        for negative, _, peer in ahead[:PEERS_ASKED]:
+        for negative, _, peer in ahead[:MAX_PEERS_ASKED]:
             if -negative <= self.in_force.sequence:
                 return
             since = messages.Since(self.in_force.sequence)
-            answer = peer.channel.call(methods.SINCE, since, LEARN_TIMEOUT)
+            answer = peer.channel.call(methods.SINCE, since, LEARN_TIMEOUT_S)
             if isinstance(answer, result.Ok):
                 self.in_force.learn(answer.ok_value)
             else:
@@ -95,7 +95,7 @@
 
     def rollout(self, team: str, revision: int, sequence: int) -> Rollout:
         """Return where the change numbered `sequence` is in force."""
-        holders = [self._own(sequence), *self._peers(sequence)]
+        holders = [self._own_rollout(sequence), *self._peer_rollouts(sequence)]
         data_centres: dict[str, bool] = {}
         for holder in holders:
             if holder.reachable:
@@ -107,8 +107,8 @@
                 data_centres.setdefault(holder.data_centre, False)
         return Rollout(team, revision, data_centres, tuple(holders))
 
-    def _own(self, sequence: int) -> Holder:
-        return Holder(
+    def _own_rollout(self, sequence: int) -> InstanceRollout:
+        return InstanceRollout(
             self.peers.own_name,
             self.data_centre,
             self.in_force.sequence >= sequence,
@@ -116,11 +116,11 @@
             self.in_force.age(),
         )
 
-    def _peers(self, sequence: int) -> t.Iterator[Holder]:
+    def _peer_rollouts(self, sequence: int) -> t.Iterator[InstanceRollout]:
         reachable = {peer.listed.name for peer in self.peers.reachable()}
         for name, peer in sorted(self.peers.by_name.items()):
             told = peer.state
-            yield Holder(
+            yield InstanceRollout(
                 name,
                 peer.listed.data_centre,
                 told is not None and told.settings_sequence >= sequence,
--- a/src/mangosail/settings/state.py
+++ b/src/mangosail/settings/state.py
@@ -22,12 +22,12 @@
 log = logbook.Logger("settings")
 
 #: Seconds without an answer of the table after which settings count as stale.
-STALE_TERM = 10.0
+STALE_AFTER_S = 10.0
 #: Largest answer to a peer that asks for changes, in bytes of content.
-DELTA_LIMIT = 1024 * 1024
+MAX_DELTA_BYTES = 1024 * 1024
 #: Chance of writing lost changes back in one round, so that of many instances
 #: that find the table behind only a few read it whole.
-RESTORE_CHANCE = 0.2
+RESTORE_PROBABILITY = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     sequence: int
     #: Seconds since the table last answered; None if it never did.
     age_seconds: float | None
-    #: Whether that is longer ago than `STALE_TERM`.
+    #: Whether that is longer ago than `STALE_AFTER_S`.
     stale: bool
     teams: int
 
@@ -84,13 +84,13 @@
         self.counters = counters
         self.random = random.Random(seed)
         self.by_team: dict[str, InForce] = {}
-        self.by_digest: dict[str, Identity] = {}
+        self.identity_by_digest: dict[str, Identity] = {}
         #: All changes up to this one are in force here.
         self.sequence = 0
         #: The latest change that is in force here; earlier ones may be missing.
-        self.highest = 0
+        self.max_sequence = 0
         #: The latest change that a reachable peer says to have in force.
-        self.heard = 0
+        self.peers_sequence = 0
         #: Monotonic time of the last read that the table answered.
         self.read_at: float | None = None
         self.stale = False
@@ -98,7 +98,7 @@
         #: the table may have been put back, and only the peers would know.
         self.peers_deadline = 0.0
         #: The latest number logged as malformed, by team; by "" of a row.
-        self.malformed: dict[str, int] = {}
+        self.logged_malformed: dict[str, int] = {}
 
     def refresh(self) -> result.Result[None, errors.Unavailable]:
         """Learn from the table what has changed and put it in force."""
@@ -106,12 +106,12 @@
         found = read_changes(self.rows)
         if isinstance(found, result.Err):
             self.counters.count("settings.read_failed")
-            self._note_age()
+            self._update_age()
             return found
         self.read_at = asked_at
-        self._note_age()
+        self._update_age()
         changes = found.ok_value
-        if changes.sequence < self.highest:
+        if changes.sequence < self.max_sequence:
             return self._restore()
         if changes.sequence == self.sequence:
             return result.Ok(None)
@@ -120,7 +120,7 @@
     def learn(self, delta: messages.Delta) -> None:
         """Put in force what a peer knows past our own sequence number."""
         self.counters.count("settings.learned_from_peer")
-        self._take(delta.subtrees, delta.sequence)
+        self._apply_all(delta.subtrees, delta.sequence)
 
     def since(self, sequence: int) -> messages.Delta:
         """Return what changed past `sequence`, as much as one answer may hold."""
@@ -131,7 +131,7 @@
         size = 0
         for number, subtree in enumerate(later):
             size += len(codec.to_json(subtree))
-            if number and size > DELTA_LIMIT:
+            if number and size > MAX_DELTA_BYTES:
                 # The first ones in order are complete up to the last of them.
                 kept = later[:number]
                 reached = min(kept[-1].sequence, self.sequence)
@@ -148,10 +148,10 @@
             faults = checked.err_value.faults
             # Values stay out of the log: they may be parts of secrets.
             why = [f"{fault.path}: expected {fault.expected}" for fault in faults]
-            self._note_malformed(subtree.team, subtree.sequence, why)
+            self._log_malformed(subtree.team, subtree.sequence, why)
             return False
         self.by_team[subtree.team] = InForce(subtree, checked.ok_value)
-        self.highest = max(self.highest, subtree.sequence)
+        self.max_sequence = max(self.max_sequence, subtree.sequence)
         self._index_tokens()
         log.info("in force", team=subtree.team, revision=subtree.revision)
         return True
@@ -172,7 +172,7 @@
 
     def identify(self, token: str) -> Identity | None:
         """Return whose `token` this is, or None."""
-        return self.by_digest.get(digest_of(token))
+        return self.identity_by_digest.get(digest_of(token))
 
     def urgent_jobs(self, team: str) -> bool:
         """Tell whether a team's jobs may be urgent."""
@@ -212,21 +212,23 @@
                 found = read_teams(self.rows, teams)
         except codec.DecodeError as exc:
             # The decoder's text quotes what it read, which may be a hash.
-            self._note_malformed("", changes.sequence, [type(exc).__name__])
+            self._log_malformed("", changes.sequence, [type(exc).__name__])
             return result.Ok(None)
         if isinstance(found, result.Err):
             self.counters.count("settings.read_failed")
             return found
-        self._take(found.ok_value.values(), changes.sequence)
+        self._apply_all(found.ok_value.values(), changes.sequence)
         return result.Ok(None)
 
-    def _take(self, subtrees: cabc.Iterable[messages.Subtree], sequence: int) -> None:
+    def _apply_all(
+        self, subtrees: cabc.Iterable[messages.Subtree], sequence: int
+    ) -> None:
         taken = [self.apply(subtree) for subtree in subtrees]
         # A subtree that this program can't read leaves the number where it is,
         # so that no one is told that the change is in force here.
         if all(taken):
             self.sequence = max(self.sequence, sequence)
-            self.highest = max(self.highest, sequence)
+            self.max_sequence = max(self.max_sequence, sequence)
 
     def _restore(self) -> result.Result[None, errors.Unavailable]:
         """Write back what the table has lost.
@@ -238,30 +240,30 @@
         a reachable peer is further on, it is left to that peer.
         """
         self.counters.count("settings.table_behind")
-        if self.sequence < self.heard:
+        if self.sequence < self.peers_sequence:
             return result.Ok(None)
-        if self.random.random() >= RESTORE_CHANCE:
+        if self.random.random() >= RESTORE_PROBABILITY:
             return result.Ok(None)
         found = self.rows.read([messages.CHANGES_KEY])
         if isinstance(found, result.Err):
             return found
         changes, version = changes_of(found.ok_value)
-        if changes.sequence >= self.highest:
+        if changes.sequence >= self.max_sequence:
             return result.Ok(None)
         present = table.scan_all(self.rows, messages.TEAM_PREFIX)
         if isinstance(present, result.Err):
             return present
         rows = {row.key: row for row in present.ok_value}
-        transaction = self._restoration(rows, changes, version)
+        transaction = self._restore_transaction(rows, changes, version)
         if isinstance(self.rows.commit(transaction), result.Ok):
             self.counters.count("settings.restored")
             log.warning("restored", sequence=self.sequence)
         return result.Ok(None)
 
-    def _restoration(
+    def _restore_transaction(
         self, rows: dict[str, table.Row], changes: messages.Changes, version: int
     ) -> table.Transaction:
-        sequence = self.highest + 1
+        sequence = self.max_sequence + 1
         checked = [table.Check(messages.CHANGES_KEY, version)]
         writes = []
         lost = []
@@ -279,30 +281,30 @@
             writes.append(table.Write(key, text))
             writes.append(table.Write(messages.history_key(held.team, revision), text))
             lost.append(held.team)
-        moved = changes.followed_by(sequence, *lost)
+        moved = changes.with_change(sequence, *lost)
         writes.append(table.Write(messages.CHANGES_KEY, codec.to_json(moved)))
         return table.Transaction(tuple(checked), tuple(writes))
 
-    def _note_malformed(self, team: str, sequence: int, why: list[str]) -> None:
+    def _log_malformed(self, team: str, sequence: int, why: list[str]) -> None:
         self.counters.count("settings.malformed")
-        if self.malformed.get(team) == sequence:
+        if self.logged_malformed.get(team) == sequence:
             return
-        self.malformed[team] = sequence
+        self.logged_malformed[team] = sequence
         log.error("malformed", team=team, sequence=sequence, why=why)
 
     def _index_tokens(self) -> None:
-        self.by_digest = {
+        self.identity_by_digest = {
             token.sha256: Identity(in_force.team, token.name, token.operator)
             # In one order everywhere, should two teams hold one hash after all.
             for _, in_force in sorted(self.by_team.items(), reverse=True)
             for token in in_force.settings.tokens
         }
 
-    def _note_age(self) -> None:
+    def _update_age(self) -> None:
         age = self.age()
         if age is not None:
             self.counters.gauge("settings.age_seconds", age)
-        stale = age is None or age > STALE_TERM
+        stale = age is None or age > STALE_AFTER_S
         if stale != self.stale:
             self.stale = stale
             self.counters.count("settings.went_stale" if stale else "settings.renewed")
--- a/tests/settings/steps/machine_steps.py
+++ b/tests/settings/steps/machine_steps.py
@@ -80,12 +80,12 @@
 
 @when("an instance learns them from a peer in answers of at most {limit:d} bytes")
 def learns(context, limit):
-    usual, state.DELTA_LIMIT = state.DELTA_LIMIT, limit
+    usual, state.MAX_DELTA_BYTES = state.MAX_DELTA_BYTES, limit
     context.learner, context.answers = new_state(context), 0
     while context.learner.sequence < context.held.sequence and context.answers < 200:
         context.learner.learn(context.held.since(context.learner.sequence))
         context.answers += 1
-    state.DELTA_LIMIT = usual
+    state.MAX_DELTA_BYTES = usual
 
 
 @then("it has all {count:d} teams in force after more than one answer")
