--- a/src/mangosail/settings/__init__.py
+++ b/src/mangosail/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' settings: one subtree for each team, checked, versioned, in force."""
+"""Operators' settings: one validated and versioned subtree for each team."""
--- a/src/mangosail/settings/changes.py
+++ b/src/mangosail/settings/changes.py
@@ -1,8 +1,9 @@
-"""Changes of a team's subtree, each made once or not at all.
+"""Applies changes to a team's subtree, each exactly once or not at all.
 
 A change names the revision it is based on and carries an id chosen by the
-operator. It takes effect in one transaction, checked against the subtree's row
-and the row of its id; a lost answer is cleared up by that id.
+operator. It is committed in one transaction that checks the versions of the
+subtree's row and of the row of the change id. When the answer to a commit is lost,
+a retry under the same id tells whether the change was made.
 """
 
 import dataclasses
@@ -22,42 +23,42 @@
 
 log = logbook.Logger("settings")
 
-#: Seconds that a change may take until it is answered.
+#: Seconds after which a change that is still retried is answered as undecided.
 CHANGE_TIMEOUT_S = 5.0
-#: Longest pause in seconds before a change that lost a race tries again.
+#: Longest delay in seconds before a change is retried.
 MAX_RETRY_INTERVAL_S = 0.05
-#: Revisions of a team, and their change ids, that are kept.
+#: Revisions of a team, and their change ids, that the history keeps.
 MAX_REVISIONS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableState:
-    """What the table held when a change was tried."""
+    """The rows that a change depends on, as read from the table."""
 
     subtree: messages.Subtree | None
     version: int
     changes: messages.Changes
     changes_version: int
-    #: The change, if its id is known.
+    #: The record of the change id if it was used before.
     record: messages.ChangeRecord | None
-    #: The revision whose content is asked for, if any.
+    #: The revision to restore, if the change asks for one.
     earlier: messages.Subtree | None
-    #: The revision that is dropped from the history when this change is made.
+    #: The revision that this change pushes out of the history.
     dropped: messages.Subtree | None
 
     @property
     def revision(self) -> int:
-        """Return the present revision, 0 if there is none."""
+        """Return the current revision, 0 if there is none."""
         return self.subtree.revision if self.subtree else 0
 
     @property
     def content(self) -> dict[str, t.Any]:
-        """Return the present content."""
+        """Return the current content."""
         return self.subtree.content if self.subtree else {}
 
 
 class Changes:
-    """Makes changes in the table and puts them in force here."""
+    """Commits changes to the table and applies them on this instance."""
 
     def __init__(
         self,
@@ -76,68 +77,68 @@
     def change(
         self, team: str, change: messages.Change, author: str
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
-        """Make `change`; accepted means that it stands."""
+        """Commit `change`; `Accepted` means that it is durable."""
         deadline = self.clock.monotonic() + CHANGE_TIMEOUT_S
-        reason, lost = "contended", False
+        reason, answer_lost = "contended", False
         while self.clock.monotonic() < deadline:
-            present = self._read(team, change)
-            if isinstance(present, result.Err):
-                return self._undecided(change, "store_unavailable", lost)
-            done = self._previous_answer(team, change, present.ok_value)
-            if done is not None:
-                return done
+            current = self._read(team, change)
+            if isinstance(current, result.Err):
+                return self._undecided(change, "store_unavailable", answer_lost)
+            previous = self._previous_answer(team, change, current.ok_value)
+            if previous is not None:
+                return previous
             if self.clock.monotonic() < self.in_force.peers_deadline:
                 reason = "peers_not_heard"
                 self.clock.sleep(MAX_RETRY_INTERVAL_S)
                 continue
-            if self.in_force.sequence < present.ok_value.changes.sequence:
-                # Whether a token is another team's is told by what is in force.
+            if self.in_force.sequence < current.ok_value.changes.sequence:
+                # The check for tokens of other teams uses the settings in force.
                 self.in_force.refresh()
-            if present.ok_value.changes.sequence < self.in_force.max_sequence:
-                # Read before a change that we know of, or the table lost
-                # changes, which are being written back: this one, based on
-                # its content, would undo them.
+            if current.ok_value.changes.sequence < self.in_force.max_sequence:
+                # Either the read missed a change that is in force here, or the
+                # table lost changes, which are being written back. A change
+                # based on this content would undo them.
                 reason = "table_behind"
                 self.clock.sleep(MAX_RETRY_INTERVAL_S)
                 continue
-            planned = self._plan(team, change, author, present.ok_value)
+            planned = self._plan(team, change, author, current.ok_value)
             if isinstance(planned, result.Err):
                 return planned
-            committed = self._commit(change, planned.ok_value, present.ok_value)
+            committed = self._commit(change, planned.ok_value, current.ok_value)
             if isinstance(committed, result.Ok):
-                return self._accept(planned.ok_value, present.ok_value)
+                return self._accept(planned.ok_value, current.ok_value)
             if isinstance(committed.err_value, platform_errors.Unavailable):
-                return self._undecided(change, "store_unavailable", lost)
-            # An answer that was lost is cleared up by trying again: the checks
-            # on the subtree and on the change id let only one of them through.
+                return self._undecided(change, "store_unavailable", answer_lost)
+            # Retrying resolves a lost answer: the checks on the subtree and on
+            # the change id let only one of the attempts commit.
             if isinstance(committed.err_value, platform_errors.Uncertain):
                 self.counters.count("settings.retry.answer_lost")
-                lost = True
+                answer_lost = True
             else:
                 self.counters.count("settings.retry.raced")
             reason = "contended"
             self.clock.sleep(self.random.uniform(0, MAX_RETRY_INTERVAL_S))
-        return self._undecided(change, reason, lost)
+        return self._undecided(change, reason, answer_lost)
 
     def preview(
         self, team: str, change: messages.Change, author: str
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
-        """Return what `change` would do, without making it."""
-        present = self._read(team, change)
-        if isinstance(present, result.Err):
+        """Return what `change` would do, without committing it."""
+        current = self._read(team, change)
+        if isinstance(current, result.Err):
             return self._undecided(change, "store_unavailable")
-        planned = self._plan(team, change, author, present.ok_value)
+        planned = self._plan(team, change, author, current.ok_value)
         if isinstance(planned, result.Err):
             return planned
-        return result.Ok(accepted_answer(planned.ok_value, present.ok_value))
+        return result.Ok(accepted_answer(planned.ok_value, current.ok_value))
 
     def read(
         self, team: str
     ) -> result.Result[messages.Subtree | None, platform_errors.Unavailable]:
-        """Return a team's subtree as the table holds it now.
+        """Return a team's subtree as it is in the table now.
 
-        An administration read asks the table each time (close-to-open), so an
-        operator sees an accepted change through any instance at once.
+        Administrative reads always go to the table (close-to-open consistency), so
+        an operator sees an accepted change through any instance at once.
         """
         found = state.read_teams(self.rows, [team])
         if isinstance(found, result.Err):
@@ -150,11 +151,11 @@
     def history(
         self, team: str, limit: int
     ) -> result.Result[list[messages.Subtree], platform_errors.Unavailable]:
-        """Return the last `limit` revisions that are kept, the latest first."""
-        present = self.read(team)
-        if isinstance(present, result.Err):
-            return present
-        last = present.ok_value.revision if present.ok_value else 0
+        """Return up to `limit` of the kept revisions, the latest first."""
+        current = self.read(team)
+        if isinstance(current, result.Err):
+            return current
+        last = current.ok_value.revision if current.ok_value else 0
         wanted = range(max(last - limit, 0) + 1, last + 1)
         found = self.rows.read([messages.history_key(team, n) for n in wanted])
         return found.map(
@@ -197,10 +198,10 @@
         )
 
     def _previous_answer(
-        self, team: str, change: messages.Change, present: TableState
+        self, team: str, change: messages.Change, current: TableState
     ) -> result.Result[messages.Accepted, errors.ChangeError] | None:
-        """Return the first answer if the change id is known."""
-        record = present.record
+        """Return the answer given before if the change id was already used."""
+        record = current.record
         if record is None:
             return None
         if record.digest != change_digest(change):
@@ -211,8 +212,8 @@
         if isinstance(first, result.Ok):
             key = messages.history_key(team, record.revision)
             subtree = subtree_at(first.ok_value, key)
-        if present.subtree is not None:
-            self.in_force.apply(present.subtree)
+        if current.subtree is not None:
+            self.in_force.apply(current.subtree)
         return result.Ok(
             messages.Accepted(
                 team,
@@ -224,143 +225,145 @@
         )
 
     def _plan(
-        self, team: str, change: messages.Change, author: str, present: TableState
+        self, team: str, change: messages.Change, author: str, current: TableState
     ) -> result.Result[messages.Subtree, errors.ChangeError]:
-        """Return the subtree that the change would write."""
-        if change.revision != present.revision:
+        """Validate the change and return the subtree that it would write."""
+        if change.revision != current.revision:
             self.counters.count("settings.refused.superseded")
-            by = present.subtree
+            by = current.subtree
             return result.Err(
                 errors.Superseded(
-                    present.revision,
+                    current.revision,
                     by.author if by else "",
                     by.changed_at if by else 0.0,
                 )
             )
-        content = self._new_content(change, present)
+        content = self._new_content(change, current)
         if isinstance(content, result.Err):
             return content
         checked = checks.check(content.ok_value)
         if isinstance(checked, result.Err):
             self.counters.count("settings.refused.bad_settings")
             return checked
-        taken = self._foreign_token_faults(team, checked.ok_value)
-        if taken:
+        faults = self._foreign_token_faults(team, checked.ok_value)
+        if faults:
             self.counters.count("settings.refused.bad_settings")
-            return result.Err(errors.BadSettings(taken))
+            return result.Err(errors.BadSettings(faults))
         return result.Ok(
             messages.Subtree(
                 team,
-                present.revision + 1,
-                present.changes.sequence + 1,
+                current.revision + 1,
+                current.changes.sequence + 1,
                 change.change_id,
                 author,
                 self.clock.wall(),
                 content.ok_value,
-                differences.between(present.content, content.ok_value),
+                differences.between(current.content, content.ok_value),
             )
         )
 
     def _foreign_token_faults(
         self, team: str, settings: schema.TeamSettings
     ) -> tuple[errors.Fault, ...]:
-        """Return a fault for each token whose hash is another team's."""
+        """Return a fault for each token whose hash belongs to another team."""
         known = self.in_force.identity_by_digest
         return tuple(
-            errors.Fault(f"tokens.{n}.sha256", checks.HIDDEN, "a token of this team")
+            errors.Fault(
+                f"tokens.{n}.sha256", checks.HIDDEN, "a token that no other team uses"
+            )
             for n, token in enumerate(settings.tokens)
             if token.sha256 in known and known[token.sha256].team != team
         )
 
     def _new_content(
-        self, change: messages.Change, present: TableState
+        self, change: messages.Change, current: TableState
     ) -> result.Result[t.Any, errors.ChangeError]:
         if change.content_of is None:
             return result.Ok(
-                checks.restore_token_hashes(change.content, present.content)
+                checks.restore_token_hashes(change.content, current.content)
             )
-        if present.earlier is None:
+        if current.earlier is None:
             self.counters.count("settings.refused.unknown_revision")
             return result.Err(errors.UnknownRevision(change.content_of))
-        # Tokens stay as they are: an earlier content must not bring a token
-        # back that was withdrawn since.
-        content = dict(present.earlier.content)
-        content["tokens"] = present.content.get("tokens", [])
+        # Tokens are not restored: an earlier content must not bring back a token
+        # that has been revoked since.
+        content = dict(current.earlier.content)
+        content["tokens"] = current.content.get("tokens", [])
         return result.Ok(content)
 
     def _commit(
-        self, change: messages.Change, subtree: messages.Subtree, present: TableState
+        self, change: messages.Change, subtree: messages.Subtree, current: TableState
     ) -> result.Result[int, platform_errors.CommitError]:
         team = subtree.team
         change_key = messages.change_key(team, change.change_id)
         record = messages.ChangeRecord(
             subtree.revision, change_digest(change), subtree.changed_at
         )
-        moved = present.changes.with_change(subtree.sequence, team)
+        new_changes = current.changes.with_change(subtree.sequence, team)
         text = codec.to_json(subtree)
         writes = [
             table.Write(messages.team_key(team), text),
             table.Write(messages.history_key(team, subtree.revision), text),
             table.Write(change_key, codec.to_json(record)),
-            table.Write(messages.CHANGES_KEY, codec.to_json(moved)),
+            table.Write(messages.CHANGES_KEY, codec.to_json(new_changes)),
         ]
-        if present.dropped is not None:
-            old = present.dropped
+        if current.dropped is not None:
+            old = current.dropped
             writes += [
                 table.Write(messages.history_key(team, old.revision), None),
                 table.Write(messages.change_key(team, old.change_id), None),
             ]
-        # The check on the row of changes puts all changes in one order. The other
-        # two hold also where the table reads several rows at different moments.
+        # The check on the changes row orders the changes of all teams. The other
+        # two are needed because the table may read several rows at different times.
         checked = (
-            table.Check(messages.team_key(team), present.version),
-            table.Check(messages.CHANGES_KEY, present.changes_version),
+            table.Check(messages.team_key(team), current.version),
+            table.Check(messages.CHANGES_KEY, current.changes_version),
             table.Check(change_key, table.ABSENT),
         )
         return self.rows.commit(table.Transaction(checked, tuple(writes)))
 
     def _accept(
-        self, subtree: messages.Subtree, present: TableState
+        self, subtree: messages.Subtree, current: TableState
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
         self.counters.count("settings.accepted")
         log.info(
-            "accepted",
+            "settings accepted",
             team=subtree.team,
             revision=subtree.revision,
             author=subtree.author,
             change_id=subtree.change_id,
         )
-        if present.changes.sequence == self.in_force.sequence:
+        if current.changes.sequence == self.in_force.sequence:
             self.in_force.learn(messages.Delta(subtree.sequence, (subtree,)))
         else:
             self.in_force.apply(subtree)
-        return result.Ok(accepted_answer(subtree, present))
+        return result.Ok(accepted_answer(subtree, current))
 
     def _undecided(
-        self, change: messages.Change, reason: str, lost: bool = False
+        self, change: messages.Change, reason: str, answer_lost: bool = False
     ) -> result.Result[messages.Accepted, errors.ChangeError]:
-        if lost:
+        if answer_lost:
             reason = "undecided"
         self.counters.count(f"settings.unknown.{reason}")
         return result.Err(errors.Undecided(change.change_id, reason))
 
 
 def accepted_answer(
-    subtree: messages.Subtree, present: TableState
+    subtree: messages.Subtree, current: TableState
 ) -> messages.Accepted:
-    """Return the answer to a change that wrote `subtree`."""
+    """Return the answer to a change that writes `subtree`."""
     return messages.Accepted(
         subtree.team,
         subtree.revision,
         subtree.change_id,
         subtree.changed_at,
         subtree.changed,
-        differences.warnings(present.content, subtree.content),
+        differences.warnings(current.content, subtree.content),
     )
 
 
 def change_digest(change: messages.Change) -> str:
-    """Return what tells two changes under one id apart."""
+    """Return a digest that differs for different changes under one change id."""
     text = codec.to_json((change.revision, change.content, change.content_of))
     return hashlib.sha256(text.encode()).hexdigest()
 
--- a/src/mangosail/settings/checks.py
+++ b/src/mangosail/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a subtree's content: all faults at once, and no secret in any.
+"""Validates a subtree's content and reports all faults at once, without secrets.
 
 Example::
 
@@ -14,18 +14,18 @@
 from mangosail import codec
 from mangosail.settings import errors, schema
 
-#: Largest content of a subtree, in bytes of JSON.
+#: Size limit of a subtree's content as JSON.
 MAX_CONTENT_BYTES = 64 * 1024
-#: Longest text of a wrong value that is shown.
+#: Characters of an invalid text value that are shown.
 MAX_SHOWN_LENGTH = 80
-#: Stands for a value that must not be shown.
+#: Placeholder for a value that must not be shown.
 HIDDEN = "hidden"
 
 
 def check(
     content: t.Any,
 ) -> result.Result[schema.TeamSettings, errors.BadSettings]:
-    """Return the settings that `content` holds, or everything wrong with it."""
+    """Return `content` as typed settings, or all of its faults."""
     size = len(codec.to_json(content))
     if size > MAX_CONTENT_BYTES:
         fault = errors.Fault("", f"{size} bytes", f"at most {MAX_CONTENT_BYTES} bytes")
@@ -38,13 +38,13 @@
 
 
 def to_fault(error: t.Any) -> errors.Fault:
-    """Return a validation error as a path, a value and what was expected."""
+    """Convert a pydantic error to a path, a value and what was expected."""
     path = ".".join(str(part) for part in error["loc"] if part != "[key]")
     return errors.Fault(path, redacted(path, error["input"]), expected(error))
 
 
 def expected(error: t.Any) -> str:
-    """Return what a validation error says was expected."""
+    """Return the expected value or type that a pydantic error names."""
     if error["type"] == "missing":
         return "a value"
     if error["type"] == "extra_forbidden":
@@ -56,7 +56,7 @@
 
 
 def redacted(path: str, value: t.Any) -> t.Any:
-    """Return `value` as it may be shown: short, and nothing of a token."""
+    """Return `value` shortened for display, with anything in a token hidden."""
     if path.split(".")[0] == "tokens":
         return HIDDEN
     if isinstance(value, dict):
@@ -68,15 +68,15 @@
     return value
 
 
-def restore_token_hashes(content: t.Any, present: dict[str, t.Any]) -> t.Any:
-    """Return `content` with the hashes of tokens that it names without one.
+def restore_token_hashes(content: t.Any, current: dict[str, t.Any]) -> t.Any:
+    """Return `content` with the current hash added to each token that lacks one.
 
-    Answers never show a hash, so an operator who edits what was read sends
-    tokens back without; those keep the hash that they have.
+    Answers never contain hashes, so an operator who edits settings that were read
+    sends the tokens back without them. Those tokens keep their hash.
     """
     if not isinstance(content, dict) or not isinstance(content.get("tokens"), list):
         return content
-    hashes = {e["name"]: e["sha256"] for e in present.get("tokens", [])}
+    hashes = {e["name"]: e["sha256"] for e in current.get("tokens", [])}
     return {
         **content,
         "tokens": [_with_known_hash(e, hashes) for e in content["tokens"]],
@@ -91,7 +91,7 @@
 
 
 def without_hashes(content: dict[str, t.Any]) -> dict[str, t.Any]:
-    """Return `content` as it may be shown to its operators."""
+    """Return `content` without token hashes, as operators may see it."""
     if "tokens" not in content:
         return content
     kept = [
--- a/src/mangosail/settings/differences.py
+++ b/src/mangosail/settings/differences.py
@@ -1,4 +1,4 @@
-"""Which paths differ between two contents of a subtree.
+"""Compares two contents of a subtree path by path.
 
 Example::
 
@@ -15,7 +15,7 @@
 def between(
     old: dict[str, t.Any], new: dict[str, t.Any]
 ) -> tuple[messages.Difference, ...]:
-    """Return the differing paths in order, with hashes of tokens hidden."""
+    """Return the differing paths in order, with token hashes hidden."""
     before, after = dict(_leaves("", old)), dict(_leaves("", new))
     return tuple(
         messages.Difference(path, _shown(path, before), _shown(path, after))
@@ -25,7 +25,7 @@
 
 
 def warnings(old: dict[str, t.Any], new: dict[str, t.Any]) -> tuple[str, ...]:
-    """Return what an operator should know of a change that is allowed."""
+    """Return warnings about effects of a valid change."""
     found = [
         f"services.{service}.{operation}: removed; work already accepted runs to "
         "its end, new requests are refused"
--- a/src/mangosail/settings/errors.py
+++ b/src/mangosail/settings/errors.py
@@ -1,4 +1,4 @@
-"""Why a change of settings was not made, or is not known to be."""
+"""Reasons why a change of settings failed or its outcome is unknown."""
 
 import dataclasses
 import typing as t
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with settings: where, what is there, what was expected."""
+    """One invalid setting: its path, its value and what was expected."""
 
     path: str
     value: t.Any
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BadSettings:
-    """The settings are refused whole, for all of `faults`."""
+    """The settings are invalid and refused as a whole."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Superseded:
-    """The change was based on a revision that is not the present one."""
+    """The change was based on a revision that is no longer the current one."""
 
     revision: int
     author: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeIdConflict:
-    """The change id was used before, for another change."""
+    """The change id was already used for a different change."""
 
     revision: int
 
@@ -48,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Undecided:
-    """The change may or may not stand; asking again with its id clears it up.
+    """It is unknown whether the change was made; a retry with its id will tell.
 
-    That holds also where the table took nothing this time: the same change may
-    have been asked for before, and that write may still be on its way.
+    This holds even if no write took effect this time: a write of an earlier attempt
+    at the same change may still be in progress.
     """
 
     change_id: str
-    #: ``undecided`` if an answer was lost this time, else what stood in the way.
+    #: ``undecided`` if an answer was lost this time, else what prevented the change.
     reason: str
 
 
-#: Everything that a change can fail with.
+#: All errors of a change.
 ChangeError = BadSettings | Superseded | ChangeIdConflict | UnknownRevision | Undecided
--- a/src/mangosail/settings/messages.py
+++ b/src/mangosail/settings/messages.py
@@ -1,19 +1,20 @@
-"""The rows that hold settings, and what is said about a change."""
+"""Rows that store settings, and requests and answers about changes."""
 
 import dataclasses
 import typing as t
 
 #: Prefix of the rows that hold the teams' subtrees.
 TEAM_PREFIX = "settings/team/"
-#: The row that every change moves on, and that instances read to learn of one.
+#: The row that every change updates and that instances poll for changes.
 CHANGES_KEY = "settings/changes"
-#: Changes that `Changes` names; an instance further behind reads all subtrees.
+#: Changes listed in `Changes`; an instance that is further behind reads all
+#: subtrees.
 MAX_RECENT_CHANGES = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One path whose value differs; None stands for absent."""
+    """One path whose value differs; None means absent."""
 
     path: str
     old: t.Any
@@ -22,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subtree:
-    """A team's subtree after a change: its row, and its row in the history."""
+    """A team's subtree after a change, stored as its row and as a history row."""
 
     team: str
     #: Counts the team's changes from 1.
     revision: int
-    #: Counts all teams' changes; orders this subtree's contents everywhere.
+    #: Counts the changes of all teams; orders the versions of this subtree.
     sequence: int
     change_id: str
     #: Name of the token that made the change.
@@ -48,44 +49,44 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """The last change's sequence number, and which teams the last ones touched."""
+    """The last change's sequence number, and the teams of the most recent ones."""
 
     sequence: int = 0
     recent: tuple[Recent, ...] = ()
 
     def teams_since(self, sequence: int) -> list[str] | None:
-        """Return the teams changed past `sequence`, or None if that is not known."""
+        """Return the teams changed after `sequence`, or None if not all are listed."""
         first = self.recent[0].sequence if self.recent else self.sequence + 1
         if sequence + 1 < first:
             return None
         return sorted({r.team for r in self.recent if r.sequence > sequence})
 
     def with_change(self, sequence: int, *teams: str) -> "Changes":
-        """Return the row after a change of `teams`, numbered `sequence`."""
+        """Return the row as it is after change number `sequence`, made to `teams`."""
         added = tuple(Recent(sequence, team) for team in teams)
         return Changes(sequence, (*self.recent, *added)[-MAX_RECENT_CHANGES:])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """Remembers a change id, so that asking again finds the first answer."""
+    """A change id that was used, so that a retry gets the first answer."""
 
     revision: int
-    #: SHA-256 of what was asked for.
+    #: SHA-256 of the requested change.
     digest: str
     changed_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A change that an operator asks for.
+    """A change requested by an operator.
 
-    Either `content` holds the new content, or `content_of` names the revision
-    whose content is to hold again.
+    Either `content` is the new content, or `content_of` names the revision whose
+    content is restored.
     """
 
     change_id: str
-    #: The revision that the operator saw; 0 for a team that has none yet.
+    #: The revision that the change is based on; 0 for a team that has none yet.
     revision: int
     content: t.Any = None
     content_of: int | None = None
@@ -93,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change that stands."""
+    """A change that was committed."""
 
     team: str
     revision: int
@@ -105,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """All subtrees changed past a sequence number, up to `sequence`."""
+    """All subtrees changed after a requested sequence number, up to `sequence`."""
 
     sequence: int
     subtrees: tuple[Subtree, ...] = ()
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Since:
-    """Asks a peer for the subtrees changed past `sequence`."""
+    """Asks a peer for the subtrees changed after `sequence`."""
 
     sequence: int
 
@@ -129,5 +130,5 @@
 
 
 def change_key(team: str, change_id: str) -> str:
-    """Return the key under which a change id is remembered."""
+    """Return the key of the record of a change id."""
     return f"settings/change/{team}/{change_id}"
--- a/src/mangosail/settings/methods.py
+++ b/src/mangosail/settings/methods.py
@@ -1,7 +1,7 @@
-"""What peers ask about settings."""
+"""Calls between instances about settings."""
 
 from mangosail.membership import rpc
 from mangosail.settings import messages
 
-#: Return the settings changed past what the peer has in force.
+#: Returns the settings changed after the caller's sequence number.
 SINCE = rpc.Method("settings_since", messages.Since, messages.Delta)
--- a/src/mangosail/settings/process.py
+++ b/src/mangosail/settings/process.py
@@ -15,19 +15,19 @@
 
 
 class Control(enum.StrEnum):
-    """Whether the control loop acts; off is for measurements against it."""
+    """Whether the control loop acts; off serves as the baseline of measurements."""
 
     ON = "on"
     OFF = "off"
 
 
 def check_address(value: str) -> str:
-    """Return `value` if it is an IP number and a port."""
+    """Return `value` if it is an IP address and a port."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host)
     except ValueError as exc:
-        raise ValueError("expected an IP number and a port") from exc
+        raise ValueError("expected an IP address and a port") from exc
     if not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError("expected a port from 1 to 65535")
     return value
@@ -37,7 +37,7 @@
 
 
 class ProcessSettings(pydantic_settings.BaseSettings):
-    """What one instance is told when it starts.
+    """Settings with which one instance starts.
 
     Each field is a flag of ``mangosail serve`` and an environment variable with
     the prefix ``MANGOSAIL_``.
--- a/src/mangosail/settings/schema.py
+++ b/src/mangosail/settings/schema.py
@@ -1,7 +1,7 @@
-"""The types of operators' settings, checked by pydantic.
+"""The types of operators' settings, validated by pydantic.
 
-Units are part of the names: `_seconds`, `_gb`, cores for `cpus`. An unknown
-field is an error, so that a misspelt one is not silently ignored.
+Names carry their unit: `_seconds`, `_gb`; `cpus` are cores. An unknown field is an
+error, so that a misspelt one is not silently ignored.
 """
 
 import enum
@@ -24,7 +24,7 @@
 
 
 class Strict(pydantic.BaseModel):
-    """Base of all settings: immutable, with no unknown fields."""
+    """Base of all settings: immutable, unknown fields are rejected."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
 
@@ -43,7 +43,7 @@
 #: The name of a service, an operation or a token.
 Name = t.Annotated[str, pydantic.StringConstraints(pattern="^[a-z0-9][a-z0-9-]{0,62}$")]
 
-#: Most services of a team, operations of a service, and tokens of a team.
+#: Limits on services of a team, operations of a service, and tokens of a team.
 MAX_SERVICES = 64
 MAX_OPERATIONS = 64
 MAX_TOKENS = 256
--- a/src/mangosail/settings/spread.py
+++ b/src/mangosail/settings/spread.py
@@ -1,8 +1,9 @@
-"""What instances tell each other about settings.
+"""Exchanges settings between instances.
 
-Each heartbeat carries the number of the last change in force. An instance that
-hears a higher one asks that peer for the subtrees it lacks, so a change reaches
-instances that can't read the table, and those that start while it is down.
+Each heartbeat carries the sequence number of the last change in force. An instance
+that receives a higher number than its own fetches the missing subtrees from that
+peer. Changes thus reach instances that cannot read the table, or that start while
+it is down.
 """
 
 import dataclasses
@@ -14,43 +15,43 @@
 from mangosail.settings import messages, methods, state
 from mangosail.telemetry import counters as telemetry
 
-#: Seconds between looks at what peers have in force.
+#: Seconds between checks whether a peer has later settings.
 LEARN_INTERVAL = 0.5
-#: Seconds that a peer may take to tell its settings.
+#: Seconds after which a peer's answer is no longer awaited.
 LEARN_TIMEOUT_S = 2.0
-#: Seconds after its start that an instance makes no change while it has heard
-#: of no peer; one that is alone makes changes after them.
+#: Seconds after its start for which an instance that has heard from no peer makes
+#: no change. After that it makes changes also without peers.
 PEER_WAIT_S = 3.0
-#: Peers that are asked in one look.
+#: Peers that are asked in one check.
 MAX_PEERS_ASKED = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceRollout:
-    """An instance, and whether a change is in force there."""
+    """Whether a change is in force on an instance."""
 
     instance: str
     data_centre: str
     in_force: bool
-    #: Whether it answered a heartbeat lately.
+    #: Whether it answered a recent heartbeat.
     reachable: bool
-    #: Seconds since the table last answered there; None if it never did.
+    #: Seconds since the table last answered that instance; None if it never did.
     settings_age: float | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rollout:
-    """Where a team's present revision is in force."""
+    """Where a team's current revision is in force."""
 
     team: str
     revision: int
-    #: Each data centre, and whether every reachable instance there has it.
+    #: For each data centre, whether all its reachable instances have the revision.
     data_centres: dict[str, bool]
     instances: tuple[InstanceRollout, ...]
 
 
 class Spread:
-    """Learns from peers, and tells how far a change has come."""
+    """Fetches settings from peers and reports the rollout of changes."""
 
     def __init__(
         self,
@@ -66,13 +67,13 @@
         in_force.peers_deadline = in_force.clock.monotonic() + PEER_WAIT_S
 
     def learn(self) -> None:
-        """Ask the peers that are furthest on for what we lack."""
+        """Fetch missing changes from the peers with the highest sequence numbers."""
         ahead = sorted(
             (-peer.state.settings_sequence, peer.listed.name, peer)
             for peer in self.peers.reachable()
             if peer.state is not None
         )
-        # Of peers reachable now only: one that is gone writes nothing back.
+        # Only reachable peers count: one that is gone cannot write changes back.
         self.in_force.peers_sequence = -ahead[0][0] if ahead else 0
         self._learn_from(ahead)
         if ahead and self.in_force.sequence >= self.in_force.peers_sequence:
@@ -90,7 +91,7 @@
                 self.counters.count(f"settings.learn_failed.{answer.err_value}")
 
     def tell(self, message: messages.Since) -> messages.Delta:
-        """Return the settings changed past what a peer has in force."""
+        """Return the settings changed after a peer's sequence number."""
         return self.in_force.since(message.sequence)
 
     def rollout(self, team: str, revision: int, sequence: int) -> Rollout:
@@ -102,8 +103,8 @@
                 so_far = data_centres.get(holder.data_centre, True)
                 data_centres[holder.data_centre] = so_far and holder.in_force
             else:
-                # One that nobody hears from must not pass for a data centre
-                # that has the change.
+                # A data centre whose instances are all unreachable must not count
+                # as one where the change is in force.
                 data_centres.setdefault(holder.data_centre, False)
         return Rollout(team, revision, data_centres, tuple(holders))
 
@@ -119,11 +120,11 @@
     def _peer_rollouts(self, sequence: int) -> t.Iterator[InstanceRollout]:
         reachable = {peer.listed.name for peer in self.peers.reachable()}
         for name, peer in sorted(self.peers.by_name.items()):
-            told = peer.state
+            peer_state = peer.state
             yield InstanceRollout(
                 name,
                 peer.listed.data_centre,
-                told is not None and told.settings_sequence >= sequence,
+                peer_state is not None and peer_state.settings_sequence >= sequence,
                 name in reachable,
-                told.settings_age if told else None,
+                peer_state.settings_age if peer_state else None,
             )
--- a/src/mangosail/settings/state.py
+++ b/src/mangosail/settings/state.py
@@ -1,8 +1,8 @@
-"""The settings in force on this instance; an earlier change is never applied.
+"""The settings in force on this instance, which never revert to an earlier change.
 
-Changes of all teams are numbered in one sequence. An instance reads one row a
-second to learn the last number, fetches only the subtrees that changed, and
-learns the same from its peers when it can't read the table.
+Changes of all teams are numbered in one sequence. An instance reads one row each
+second for the last number and fetches only the subtrees that changed. When it
+cannot read the table it gets them from its peers.
 """
 
 import collections.abc as cabc
@@ -21,18 +21,18 @@
 
 log = logbook.Logger("settings")
 
-#: Seconds without an answer of the table after which settings count as stale.
+#: Seconds without an answer from the table after which settings count as stale.
 STALE_AFTER_S = 10.0
-#: Largest answer to a peer that asks for changes, in bytes of content.
+#: Size limit of the subtrees in one answer to a peer.
 MAX_DELTA_BYTES = 1024 * 1024
-#: Chance of writing lost changes back in one round, so that of many instances
-#: that find the table behind only a few read it whole.
+#: Probability that a refresh writes lost changes back, so that of many instances
+#: that find the table behind only a few scan it completely.
 RESTORE_PROBABILITY = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """A team's settings and the subtree they came from."""
+    """A team's settings in force and the subtree they were parsed from."""
 
     subtree: messages.Subtree
     settings: schema.TeamSettings
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a bearer token belongs to."""
+    """The owner of a bearer token."""
 
     team: str
     token: str
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """How far the settings of an instance are in step."""
+    """How current the settings of an instance are."""
 
     sequence: int
     #: Seconds since the table last answered; None if it never did.
@@ -70,7 +70,7 @@
 
 
 class Settings:
-    """All teams' settings that are in force here."""
+    """The settings of all teams in force on this instance."""
 
     def __init__(
         self,
@@ -85,23 +85,25 @@
         self.random = random.Random(seed)
         self.by_team: dict[str, InForce] = {}
         self.identity_by_digest: dict[str, Identity] = {}
-        #: All changes up to this one are in force here.
+        #: All changes up to this one are in force.
         self.sequence = 0
-        #: The latest change that is in force here; earlier ones may be missing.
+        #: The latest change in force; earlier ones may be missing.
         self.max_sequence = 0
-        #: The latest change that a reachable peer says to have in force.
+        #: The highest sequence number reported by a reachable peer.
         self.peers_sequence = 0
-        #: Monotonic time of the last read that the table answered.
+        #: Monotonic time at which the last successful read was sent.
         self.read_at: float | None = None
         self.stale = False
-        #: Monotonic time until which no change is made while no peer was heard:
-        #: the table may have been put back, and only the peers would know.
+        #: Monotonic time until which no change is made without having heard from
+        #: peers: the table may have been restored from a backup, which only peers
+        #: can tell.
         self.peers_deadline = 0.0
-        #: The latest number logged as malformed, by team; by "" of a row.
+        #: The last sequence number logged as malformed, by team; "" stands for rows
+        #: that cannot be decoded.
         self.logged_malformed: dict[str, int] = {}
 
     def refresh(self) -> result.Result[None, errors.Unavailable]:
-        """Learn from the table what has changed and put it in force."""
+        """Read changes from the table and put them in force."""
         asked_at = self.clock.monotonic()
         found = read_changes(self.rows)
         if isinstance(found, result.Err):
@@ -118,12 +120,12 @@
         return self._catch_up(changes)
 
     def learn(self, delta: messages.Delta) -> None:
-        """Put in force what a peer knows past our own sequence number."""
+        """Put in force the changes in a peer's answer."""
         self.counters.count("settings.learned_from_peer")
         self._apply_all(delta.subtrees, delta.sequence)
 
     def since(self, sequence: int) -> messages.Delta:
-        """Return what changed past `sequence`, as much as one answer may hold."""
+        """Return the changes after `sequence` that fit into one answer."""
         later = sorted(
             (i.subtree for i in self.by_team.values() if i.subtree.sequence > sequence),
             key=lambda subtree: subtree.sequence,
@@ -132,21 +134,21 @@
         for number, subtree in enumerate(later):
             size += len(codec.to_json(subtree))
             if number and size > MAX_DELTA_BYTES:
-                # The first ones in order are complete up to the last of them.
+                # In order of sequence, so none is missing up to the last one kept.
                 kept = later[:number]
                 reached = min(kept[-1].sequence, self.sequence)
                 return messages.Delta(reached, tuple(kept))
         return messages.Delta(self.sequence, tuple(later))
 
     def apply(self, subtree: messages.Subtree) -> bool:
-        """Put a subtree in force unless a later one is; tell whether either is."""
-        present = self.by_team.get(subtree.team)
-        if present is not None and present.subtree.sequence >= subtree.sequence:
+        """Put a subtree in force unless a later one is; return False if malformed."""
+        current = self.by_team.get(subtree.team)
+        if current is not None and current.subtree.sequence >= subtree.sequence:
             return True
         checked = checks.check(subtree.content)
         if isinstance(checked, result.Err):
             faults = checked.err_value.faults
-            # Values stay out of the log: they may be parts of secrets.
+            # Values are not logged since they may contain secrets.
             why = [f"{fault.path}: expected {fault.expected}" for fault in faults]
             self._log_malformed(subtree.team, subtree.sequence, why)
             return False
@@ -157,35 +159,35 @@
         return True
 
     def were_read(self) -> bool:
-        """Tell whether this process has read the teams' settings from the table."""
+        """Return whether this process has read teams' settings from the table."""
         return self.read_at is not None and bool(self.by_team)
 
     def age(self) -> float | None:
-        """Return the seconds since the table last answered; None if never."""
+        """Return the seconds since the table last answered; None if it never did."""
         if self.read_at is None:
             return None
         return self.clock.monotonic() - self.read_at
 
     def describe(self) -> Status:
-        """Return what the status shows of the settings."""
+        """Return the state of the settings for the status page."""
         return Status(self.sequence, self.age(), self.stale, len(self.by_team))
 
     def identify(self, token: str) -> Identity | None:
-        """Return whose `token` this is, or None."""
+        """Return the owner of `token`, or None if it is unknown."""
         return self.identity_by_digest.get(digest_of(token))
 
     def urgent_jobs(self, team: str) -> bool:
-        """Tell whether a team's jobs may be urgent."""
+        """Return whether a team may submit urgent jobs."""
         in_force = self.by_team.get(team)
         return in_force is not None and in_force.settings.urgent
 
     def declared_quota(self, team: str) -> schema.Quota | None:
-        """Return a team's quota as its settings declare it, if it is known."""
+        """Return the quota in a team's settings, or None for an unknown team."""
         in_force = self.by_team.get(team)
         return in_force.settings.quota if in_force else None
 
     def quota(self, team: str) -> resources.Resources:
-        """Return a team's quota; nothing if the team is unknown."""
+        """Return a team's quota as resources, empty for an unknown team."""
         quota = self.declared_quota(team)
         if quota is None:
             return resources.Resources()
@@ -211,7 +213,7 @@
             else:
                 found = read_teams(self.rows, teams)
         except codec.DecodeError as exc:
-            # The decoder's text quotes what it read, which may be a hash.
+            # The decoder's message quotes its input, which may contain a hash.
             self._log_malformed("", changes.sequence, [type(exc).__name__])
             return result.Ok(None)
         if isinstance(found, result.Err):
@@ -223,21 +225,21 @@
     def _apply_all(
         self, subtrees: cabc.Iterable[messages.Subtree], sequence: int
     ) -> None:
-        taken = [self.apply(subtree) for subtree in subtrees]
-        # A subtree that this program can't read leaves the number where it is,
-        # so that no one is told that the change is in force here.
-        if all(taken):
+        applied = [self.apply(subtree) for subtree in subtrees]
+        # A subtree that this version cannot parse keeps the sequence number from
+        # advancing, so that the change is not reported as in force here.
+        if all(applied):
             self.sequence = max(self.sequence, sequence)
             self.max_sequence = max(self.max_sequence, sequence)
 
     def _restore(self) -> result.Result[None, errors.Unavailable]:
-        """Write back what the table has lost.
+        """Write changes back that the table has lost.
 
-        The table was put back to an earlier state, or we were told of a change
-        by a peer between its commit and our read. Accepted changes must not
-        revert, and only the instances still hold them. The check on the row of
-        changes lets one instance win; the others see its higher number. While
-        a reachable peer is further on, it is left to that peer.
+        Either the table was restored to an earlier state, or a peer sent a change
+        that was committed after the read of the table. Accepted changes must not
+        revert, and only the instances still have them. The check on the changes row
+        lets one instance succeed; the others see its higher sequence number. If a
+        reachable peer has later changes, writing back is left to that peer.
         """
         self.counters.count("settings.table_behind")
         if self.sequence < self.peers_sequence:
@@ -250,14 +252,14 @@
         changes, version = changes_of(found.ok_value)
         if changes.sequence >= self.max_sequence:
             return result.Ok(None)
-        present = table.scan_all(self.rows, messages.TEAM_PREFIX)
-        if isinstance(present, result.Err):
-            return present
-        rows = {row.key: row for row in present.ok_value}
+        current = table.scan_all(self.rows, messages.TEAM_PREFIX)
+        if isinstance(current, result.Err):
+            return current
+        rows = {row.key: row for row in current.ok_value}
         transaction = self._restore_transaction(rows, changes, version)
         if isinstance(self.rows.commit(transaction), result.Ok):
             self.counters.count("settings.restored")
-            log.warning("restored", sequence=self.sequence)
+            log.warning("settings restored", sequence=self.sequence)
         return result.Ok(None)
 
     def _restore_transaction(
@@ -281,8 +283,8 @@
             writes.append(table.Write(key, text))
             writes.append(table.Write(messages.history_key(held.team, revision), text))
             lost.append(held.team)
-        moved = changes.with_change(sequence, *lost)
-        writes.append(table.Write(messages.CHANGES_KEY, codec.to_json(moved)))
+        new_changes = changes.with_change(sequence, *lost)
+        writes.append(table.Write(messages.CHANGES_KEY, codec.to_json(new_changes)))
         return table.Transaction(tuple(checked), tuple(writes))
 
     def _log_malformed(self, team: str, sequence: int, why: list[str]) -> None:
@@ -290,12 +292,12 @@
         if self.logged_malformed.get(team) == sequence:
             return
         self.logged_malformed[team] = sequence
-        log.error("malformed", team=team, sequence=sequence, why=why)
+        log.error("settings malformed", team=team, sequence=sequence, why=why)
 
     def _index_tokens(self) -> None:
         self.identity_by_digest = {
             token.sha256: Identity(in_force.team, token.name, token.operator)
-            # In one order everywhere, should two teams hold one hash after all.
+            # A fixed order, so that all instances agree if two teams have one hash.
             for _, in_force in sorted(self.by_team.items(), reverse=True)
             for token in in_force.settings.tokens
         }
@@ -308,16 +310,19 @@
         if stale != self.stale:
             self.stale = stale
             self.counters.count("settings.went_stale" if stale else "settings.renewed")
-            log.warning("stale" if stale else "renewed", sequence=self.sequence)
+            log.warning(
+                "settings stale" if stale else "settings renewed",
+                sequence=self.sequence,
+            )
 
 
 def digest_of(token: str) -> str:
-    """Return the form in which a token is stored."""
+    """Return the SHA-256 of a token, which is stored in its place."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def changes_of(rows: dict[str, table.Row]) -> tuple[messages.Changes, int]:
-    """Return the row of changes among `rows`, and its version."""
+    """Return the changes row among `rows`, and its version."""
     row = rows.get(messages.CHANGES_KEY)
     if row is None:
         return messages.Changes(), table.ABSENT
@@ -327,7 +332,7 @@
 def read_changes(
     rows: table.Table,
 ) -> result.Result[messages.Changes, errors.Unavailable]:
-    """Return the row of changes."""
+    """Read the changes row."""
     found = rows.read([messages.CHANGES_KEY])
     return found.map(lambda read: changes_of(read)[0])
 
@@ -335,7 +340,7 @@
 def read_teams(
     rows: table.Table, teams: cabc.Iterable[str]
 ) -> result.Result[dict[str, messages.Subtree], errors.Unavailable]:
-    """Return the subtrees of `teams` that exist, by team."""
+    """Read the subtrees of `teams` that exist, by team."""
     found = rows.read([messages.team_key(team) for team in teams])
     return found.map(lambda read: decode(read.values()))
 
@@ -343,11 +348,11 @@
 def read_all(
     rows: table.Table,
 ) -> result.Result[dict[str, messages.Subtree], errors.Unavailable]:
-    """Return all subtrees by team."""
+    """Read all subtrees, by team."""
     return table.scan_all(rows, messages.TEAM_PREFIX).map(decode)
 
 
 def decode(rows: cabc.Iterable[table.Row]) -> dict[str, messages.Subtree]:
-    """Return the subtrees that `rows` hold, by team."""
+    """Return the subtrees decoded from `rows`, by team."""
     subtrees = [codec.from_json(row.value, messages.Subtree) for row in rows]
     return {subtree.team: subtree for subtree in subtrees}
--- a/tests/cli/cli.feature
+++ b/tests/cli/cli.feature
@@ -11,7 +11,7 @@
     Examples:
       | variable              | value | arguments                 | named                                                                                     |
       | MANGOSAIL_INSTANCE    | Nine  |                           | --instance (MANGOSAIL_INSTANCE): 'Nine': String should match                              |
-      | MANGOSAIL_DATA_CENTRE | a     | --http-address here       | --http-address (MANGOSAIL_HTTP_ADDRESS): 'here': expected an IP number and a port         |
+      | MANGOSAIL_DATA_CENTRE | a     | --http-address here       | --http-address (MANGOSAIL_HTTP_ADDRESS): 'here': expected an IP address and a port         |
       | MANGOSAIL_SEED        | x     |                           | --seed (MANGOSAIL_SEED): 'x': Input should be a valid integer                             |
       | MANGOSAIL_SEED        | 1     | --peer-address 10.0.0.1:0 | --peer-address (MANGOSAIL_PEER_ADDRESS): '10.0.0.1:0': expected a port from 1 to 65535    |
       | MANGOSAIL_SEED        | 1     | --log-level loud          | --log-level (MANGOSAIL_LOG_LEVEL): 'loud': Input should be 'CRITICAL'                     |
--- a/tests/settings/environment.py
+++ b/tests/settings/environment.py
@@ -1,4 +1,4 @@
-"""One stage for the scenarios with processes: two data centres, no workers."""
+"""Starts one stage for the scenarios with processes: two data centres, no workers."""
 
 from tests.support import stage, teams
 
--- a/tests/settings/fakes.py
+++ b/tests/settings/fakes.py
@@ -1,4 +1,4 @@
-"""A table in memory whose calls fail as a script says."""
+"""An in-memory table whose calls fail according to a script."""
 
 import result
 from tests.support import memory
@@ -9,7 +9,7 @@
 
 
 class Table:
-    """`script` holds what the next calls meet; after it all is well."""
+    """`script` lists the results of the next calls; later calls succeed."""
 
     def __init__(self):
         self.rows = memory.Rows()
@@ -51,6 +51,6 @@
         return done
 
     def put_back(self, rows):
-        """Hold `rows` again, as after a restored backup; versions go on rising."""
+        """Replace all rows, as a restored backup does; versions keep increasing."""
         self.rows.clear()
         self.rows.update(rows)
--- a/tests/settings/machine.py
+++ b/tests/settings/machine.py
@@ -1,4 +1,4 @@
-"""Settings under faults against an oracle, as a hypothesis state machine."""
+"""Compares settings under faults with an oracle in a hypothesis state machine."""
 
 import collections
 
@@ -14,7 +14,8 @@
 
 TEAMS = st.sampled_from(["fuel-desk", "plegadora"])
 INSTANCES = st.integers(0, 2)
-#: What the next calls meet: a change reads, commits, and reads again if in doubt.
+#: Results of the next calls: a change reads, commits, and reads again after a lost
+#: answer.
 SCRIPTS = st.sampled_from(
     [
         [],
@@ -32,7 +33,7 @@
 
 
 class Settings(stateful.RuleBasedStateMachine):
-    """Three instances; operators race, answers get lost, writes come late."""
+    """Three instances, concurrent changes, lost answers and late writes."""
 
     def __init__(self):
         super().__init__()
--- a/tests/settings/measure.py
+++ b/tests/settings/measure.py
@@ -1,9 +1,9 @@
-"""Measures how long a change takes to be in force everywhere, under kills.
+"""Measures how long a change takes to be in force while instances are killed.
 
 ``python -m tests.settings.measure [changes] [seed]`` starts six instances in
-three data centres, kills one every few changes and starts it anew, and prints
-the times from the accepted answer until every reachable instance has it in
-force, with the table up, and on an instance that is cut off from the table.
+three data centres, and kills and restarts one every few changes. It prints the
+times from the accepted answer until the change is in force on each reachable
+instance, and on one instance that is cut off from the table.
 """
 
 import concurrent.futures
@@ -28,7 +28,7 @@
 
 
 def follow(scene, name, revision, since, seen):
-    """Return the seconds until `name` has `revision` in force; note reverts."""
+    """Return the seconds until `name` has `revision` in force; count reverts."""
     while time.monotonic() - since < 30:
         found = revision_at(scene, name)
         if found is not None:
@@ -88,7 +88,7 @@
 
 
 def kill_one(scene, names, chance, seen):
-    """Kill an instance and start it anew; it counts again after some changes."""
+    """Kill an instance and restart it; it is measured again after the next kill."""
     name = chance.choice(names)
     scene.kill(name)
     seen.pop(name, None)
--- a/tests/settings/steps/machine_steps.py
+++ b/tests/settings/steps/machine_steps.py
@@ -30,14 +30,14 @@
     made.change(team, asked, "test").unwrap()
 
 
-@then("{count:d} random histories of settings keep every promise")
+@then("{count:d} random histories of settings keep all invariants")
 def histories(context, count):
     stateful.run_state_machine_as_test(
         machine.Settings,
         settings=hypothesis.settings(
             derandomize=True, max_examples=count, stateful_step_count=40,
             deadline=None, database=None,
-            # Shrinking a failure took minutes; CI must stay bounded.
+            # No shrinking: it takes minutes after a failure, too long for CI.
             phases=(hypothesis.Phase.generate,),
         ),
     )  # fmt: skip
@@ -53,18 +53,18 @@
     context.held.refresh().unwrap()
 
 
-@when("an instance looks {count:d} times")
+@when("an instance refreshes {count:d} times")
 def looks(context, count):
     for _ in range(count):
         context.held.refresh().unwrap()
 
 
-@then("it has read {rows:d} rows besides the {first:d} of the first look")
+@then("it has read {rows:d} rows besides the {first:d} of the first refresh")
 def rows_read(context, rows, first):
     assert context.store.rows_read == rows + first, context.store.rows_read
 
 
-@when("{count:d} teams' settings change and the instance looks once")
+@when("{count:d} teams' settings change and the instance refreshes once")
 def some_change(context, count):
     for number in range(count):
         change(context, f"team-{number}", {"quota": {"cpus": 500.0}})
@@ -73,12 +73,12 @@
     assert context.held.by_team["team-0"].settings.quota.cpus == 500
 
 
-@then("it has read {rows:d} rows more")
+@then("it has read {rows:d} more rows")
 def rows_more(context, rows):
     assert context.store.rows_read == rows, context.store.rows_read
 
 
-@when("an instance learns them from a peer in answers of at most {limit:d} bytes")
+@when("an instance fetches them from a peer in answers of at most {limit:d} bytes")
 def learns(context, limit):
     usual, state.MAX_DELTA_BYTES = state.MAX_DELTA_BYTES, limit
     context.learner, context.answers = new_state(context), 0
@@ -94,7 +94,7 @@
     assert 1 < context.answers < 200, context.answers
 
 
-@when("a later program writes a field that this one doesn't know")
+@when("a later version writes a field that this one does not know")
 def later_program(context):
     subtree = messages.Subtree("team-1", 2, 3, "c", "test", 0.0, {"quota": {"gpus": 3}})
     rows = {
@@ -108,7 +108,7 @@
     context.held.refresh().unwrap()
 
 
-@then("the instance keeps what it has and its sequence number")
+@then("the instance keeps its settings and its sequence number")
 def keeps(context):
     assert context.held.sequence == 2
     assert context.held.by_team["team-1"].settings.quota.cpus == 2
@@ -136,7 +136,7 @@
     return made.change("team-0", asked, "test")
 
 
-@when("it is put back to before a change, and an operator changes what it shows")
+@when("the table loses a change, and an operator changes what it contains")
 def put_back_and_change(context):
     backup = dict(context.store.rows)
     try_change(context, context.held, 1, 50.0).unwrap()
@@ -144,12 +144,12 @@
     context.answer = try_change(context, context.held, 1, 60.0)
 
 
-@then('the operator is told to ask again, for "{reason}"')
+@then('the operator is told to retry, with the reason "{reason}"')
 def refused(context, reason):
     assert context.answer.unwrap_err() == errors.Undecided("t60.0", reason)
 
 
-@then("the lost change is written back, and can then be built on")
+@then("the lost change is written back, and a change based on it is accepted")
 def written_back(context):
     for _ in range(100):
         context.held.refresh().unwrap()
@@ -158,7 +158,7 @@
     assert try_change(context, context.held, found.revision, 70.0).is_ok()
 
 
-@given("a peer that says to be further on but can't be asked")
+@given("a peer that reports later changes but does not answer")
 def peer_ahead(context):
     peer = types.SimpleNamespace(
         state=types.SimpleNamespace(settings_sequence=99),
@@ -174,7 +174,7 @@
     )
 
 
-@when("it is put back to before a change, and the instance looks {count:d} times")
+@when("the table loses a change, and the instance refreshes {count:d} times")
 def put_back_and_look(context, count):
     backup = dict(context.store.rows)
     try_change(context, context.held, 1, 50.0).unwrap()
@@ -194,13 +194,13 @@
     assert found.revision == 1, found
 
 
-@when("that peer is gone and the instance looks {count:d} times")
+@when("that peer is gone and the instance refreshes {count:d} times")
 def peer_gone(context, count):
     context.peers = []
     look_and_learn(context, count)
 
 
-@when("the instance is asked for a change before it has heard of that peer")
+@when("the instance is asked for a change before it has heard from that peer")
 def change_unheard(context):
     context.started = context.held.clock.now
     made = changes.Changes(
@@ -210,7 +210,7 @@
     made.change("team-0", asked, "test").unwrap()
 
 
-@then("it made none before {seconds:d} seconds were over")
+@then("it makes the change no earlier than after {seconds:d} seconds")
 def waited(context, seconds):
     changed = context.held.by_team["team-0"].subtree.changed_at
     assert changed >= context.started + seconds - 0.1, (context.started, changed)
@@ -234,7 +234,7 @@
     assert fault.path == path and context.hash["sha256"] not in str(fault), fault
 
 
-@when("a bad token hash is in the table and the instance looks {count:d} times")
+@when("a bad token hash is in the table and the instance refreshes {count:d} times")
 def bad_hash(context, count):
     content = {"tokens": [{"name": "t", "sha256": "secret-hash"}]}
     subtree = messages.Subtree("team-1", 2, 3, "c", "test", 0.0, content)
@@ -256,8 +256,8 @@
 
 
 @then(
-    "each of {desk:d} and {plegadora:d} process settings is whole, with an address "
-    "of its own"
+    "the {desk:d} and {plegadora:d} example process settings are valid and share no "
+    "address"
 )
 def examples(context, desk, plegadora):
     for user, count in (("fuel-desk", desk), ("plegadora", plegadora)):
--- a/tests/settings/steps/settings_steps.py
+++ b/tests/settings/steps/settings_steps.py
@@ -33,9 +33,9 @@
 
 
 def revision_in_force(context, instance):
-    """Return the revision in the memory of an instance: the table is not asked."""
+    """Return the revision in force on an instance, without a read of the table."""
     answer = context.stage.call(instance, "GET", "/v1/settings", headers=DESK)
-    # An instance that has no settings yet knows no token.
+    # Without settings an instance knows no token and answers 401.
     return answer.json()["teams"]["fuel-desk"] if answer.status == 200 else None
 
 
@@ -89,7 +89,7 @@
     assert shown["read_from"] == "table"
 
 
-@when("two operators change the present revision at once, {count:d} times")
+@when("two operators change the current revision concurrently, {count:d} times")
 def race(context, count):
     context.races = []
     for number in range(count):
@@ -106,7 +106,7 @@
         context.races.append((now["revision"], [f.result() for f in tried]))
 
 
-@then("each time one is accepted and the other told who was first")
+@then("each time one is accepted and the other is told the author of the first")
 def one_won(context):
     for revision, answers in context.races:
         first, second = sorted(answers, key=lambda answer: answer.status)
@@ -121,7 +121,7 @@
     context.stage.faults(lose_answers=1.0)
 
 
-@given("it goes down once it has made the next change")
+@given("it goes down once it has committed the next change")
 def down_after_change(context):
     log = f"/log?since={last_version(context)}"
 
@@ -144,7 +144,7 @@
     return log[-1]["version"]
 
 
-@then('the answer is {status:d} "{title}" with the change id and when to come back')
+@then('the answer is {status:d} "{title}" with the change id and when to retry')
 def is_undecided(context, status, title):
     told = context.answer.json()
     assert (context.answer.status, told["title"]) == (status, title), told
@@ -152,7 +152,7 @@
     assert float(context.answer.headers["retry-after"]) > 0
 
 
-@when('the table is well and the same change is asked for at "{name}"')
+@when('the table is up and the same change is requested at "{name}"')
 def ask_same(context, name):
     context.stage.faults(table="up", lose_answers=0.0)
     context.answer = put(context, name, *context.asked)
@@ -220,7 +220,7 @@
     context.answer = ask(context, "taraz-0", "PUT", PATH + "?dry_run=true", body)
 
 
-@then("it is told both differences and what becomes of running releases")
+@then("it is shown both differences and a warning about running releases")
 def told_differences(context):
     told = context.answer.json()
     assert {d["path"]: d["new"] for d in told["changed"]} == {
@@ -233,7 +233,7 @@
     assert told["warnings"][0].startswith("services.fuel.release: removed"), told
 
 
-@when("the desk rotates its caller's token and then rolls back before it")
+@when("the desk rotates its caller's token and restores the revision before")
 def rotate(context):
     context.before = now = present(context)
     assert ask(context, "taraz-0", path="/v1/status",
@@ -292,9 +292,9 @@
     }
 
 
-@then("each gets only what is theirs")
+@then("each gets only what it is authorized for")
 def only_theirs(context):
-    # An allowed change is one that gets as far as the check of its revision.
+    # An authorized change is refused only by the check of its revision (409).
     assert context.statuses == {
         "operator": [200, 200, 200, 409, 404],
         "caller": [403, 403, 403, 403, 404],
@@ -305,7 +305,7 @@
     }, context.statuses
 
 
-@then("no token or hash stands in any answer or log")
+@then("no answer or log contains a token or a hash")
 def no_secrets(context):
     logs = [path.read_bytes() for path in context.stage.logs.glob("*.log")]
     assert any(b"in force" in log for log in logs)
@@ -360,7 +360,7 @@
     context.stage.faults(cut=[name])
 
 
-@then('"{name}" refuses changes with "{title}" and shows its memory')
+@then('"{name}" refuses changes with "{title}" and answers from memory')
 def refuses(context, name, title):
     shown = present(context, name)
     assert shown["read_from"] == "memory"
@@ -370,7 +370,7 @@
     assert refused.json()["outcome"] == "unknown"
 
 
-@then('"{name}" reports stale settings until it is joined again')
+@then('"{name}" reports stale settings until it is reconnected')
 def reports_stale(context, name):
     def settings():
         return ask(context, name, path="/v1/status").json()["settings"]
@@ -396,7 +396,7 @@
     context.stage.faults(table="up")
 
 
-@when("the table is put back to before the last change")
+@when("the table is restored to the state before the last change")
 def put_back(context):
     def rows():
         found = stage.call(context.stage.platform, "GET", "/rows?prefix=settings/")
@@ -409,7 +409,7 @@
     stage.call(context.stage.platform, "POST", "/rows", backup)
 
 
-@then("the change is never out of force, and the table holds it again")
+@then("the change stays in force, and the table contains it again")
 def holds_again(context):
     revision = context.answer.json()["revision"]
 
@@ -436,7 +436,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-@when("an operator works through the command line")
+@when("an operator runs each settings command")
 def use_cli(context):
     folder = pathlib.Path(tempfile.mkdtemp(prefix="mangosail-"))
     file, bad = str(folder / "desk.json"), str(folder / "bad.json")
