--- a/src/mangosail/telemetry/counters.py
+++ b/src/mangosail/telemetry/counters.py
@@ -16,15 +16,15 @@
 import statsd
 
 #: Seconds between packets to statsd.
-FLUSH_INTERVAL = 1.0
+FLUSH_INTERVAL_S = 1.0
 #: Times sent for each name at each flush, at most.
-TIMINGS_PER_FLUSH = 50
+MAX_TIMINGS_PER_FLUSH = 50
 #: Bytes of a packet that fits an Ethernet frame.
-PACKET_SIZE = 1432
+MAX_PACKET_BYTES = 1432
 
 
 #: Upper bounds in seconds of the classes in which times are counted.
-TIME_BOUNDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10)
+BUCKET_BOUNDS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10)
 
 
 class Counters(t.Protocol):
@@ -54,14 +54,14 @@
     def __init__(self, host: str | None, port: int, prefix: str = "mangosail") -> None:
         self.counts: collections.Counter[str] = collections.Counter()
         self.pending: collections.Counter[str] = collections.Counter()
-        self.timings: dict[str, Sample] = {}
+        self.timings: dict[str, ReservoirSample] = {}
         self.histograms: dict[str, Histogram] = {}
         self.gauges: dict[str, float] = {}
         self.client = None
         if host:
             # Only UDP: a TCP connection to a lost server would block.
             self.client = statsd.StatsClient(
-                host, port, prefix=prefix, maxudpsize=PACKET_SIZE
+                host, port, prefix=prefix, maxudpsize=MAX_PACKET_BYTES
             )
 
     def count(self, name: str, amount: int = 1) -> None:
@@ -77,7 +77,7 @@
             histogram = self.histograms[name] = Histogram()
         histogram.add(seconds)
         if self.client:
-            self.timings.setdefault(name, Sample()).add(seconds)
+            self.timings.setdefault(name, ReservoirSample()).add(seconds)
 
     def gauge(self, name: str, value: float) -> None:
         """Record the present value of `name`."""
@@ -99,7 +99,7 @@
             for name, amount in pending.items():
                 packet.incr(name, amount)
             for name, sample in timings.items():
-                for seconds in sample.kept:
+                for seconds in sample.values:
                     packet.timing(name, seconds * 1000)
             for name, value in gauges.items():
                 packet.gauge(name, value)
@@ -107,7 +107,7 @@
     def flush_forever(self) -> None:
         """Send to statsd again and again, if there is one."""
         while self.client is not None:
-            gevent.sleep(FLUSH_INTERVAL)
+            gevent.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
 
@@ -115,35 +115,35 @@
     """Times counted in classes."""
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(TIME_BOUNDS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS_S) + 1)
         #: Sum of all times in seconds.
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
         """Count a time."""
-        self.counts[bisect.bisect_left(TIME_BOUNDS, seconds)] += 1
+        self.counts[bisect.bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, int]]:
         """Return how many times were at most as long as each bound."""
         sums = itertools.accumulate(self.counts)
-        names = [*map(str, TIME_BOUNDS), "+Inf"]
+        names = [*map(str, BUCKET_BOUNDS_S), "+Inf"]
         return list(zip(names, sums, strict=True))
 
 
-class Sample:
+class ReservoirSample:
     """Up to `TIMINGS_PER_FLUSH` of the values added, each as likely as another."""
 
     def __init__(self) -> None:
         self.seen = 0
-        self.kept: list[float] = []
+        self.values: list[float] = []
 
     def add(self, value: float) -> None:
         """Take `value` in, in the place of a random one once there are enough."""
         self.seen += 1
-        if len(self.kept) < TIMINGS_PER_FLUSH:
-            self.kept.append(value)
+        if len(self.values) < MAX_TIMINGS_PER_FLUSH:
+            self.values.append(value)
             return
         place = random.randrange(self.seen)
-        if place < TIMINGS_PER_FLUSH:
-            self.kept[place] = value
+        if place < MAX_TIMINGS_PER_FLUSH:
+            self.values[place] = value
--- a/src/mangosail/telemetry/exposition.py
+++ b/src/mangosail/telemetry/exposition.py
@@ -34,16 +34,16 @@
         import prometheus_client.core as core
 
         for name, count in sorted(self.counters.counts.items()):
-            family = core.CounterMetricFamily(plain(name), name)
+            family = core.CounterMetricFamily(metric_name(name), name)
             family.add_metric([], count)
             yield family
         for name, times in sorted(self.counters.histograms.items()):
-            histogram = core.HistogramMetricFamily(f"{plain(name)}_seconds", name)
+            histogram = core.HistogramMetricFamily(f"{metric_name(name)}_seconds", name)
             histogram.add_metric([], times.cumulative(), times.total)
             yield histogram
 
 
-def plain(name: str) -> str:
+def metric_name(name: str) -> str:
     """Return a dotted name as the format allows it.
 
     >>> plain("front.refused.no_capacity")
--- a/src/mangosail/telemetry/logs.py
+++ b/src/mangosail/telemetry/logs.py
@@ -25,15 +25,15 @@
 )
 
 #: Lines that wait to be written at most; about 1 MB.
-MOST_WAITING = 4000
+MAX_QUEUED_LINES = 4000
 #: Lines of one event that are taken in a second; more are only counted. Above the
 #: 240 task starts a second that one instance has to log.
-MOST_A_SECOND = 400
+MAX_LINES_PER_SECOND = 400
 #: Seconds between writings.
-FLUSH_INTERVAL = 0.2
+FLUSH_INTERVAL_S = 0.2
 #: Bytes that one system call writes at most. A pipe takes this much whole or not at
 #: all; of larger writes some readers lost the rest, and lines were torn.
-CHUNK = 4096
+MAX_WRITE_BYTES = 4096
 
 
 class BoundedHandler(logbook.Handler):
@@ -48,10 +48,10 @@
         self.formatter = format_record
         self.lines: collections.deque[str] = collections.deque()
         #: What is left of a chunk that was written in part.
-        self.rest = b""
+        self.unwritten = b""
         #: Lines left out, by event and reason, since that was last said.
-        self.left_out: collections.Counter[tuple[str, str]] = collections.Counter()
-        self.in_second: collections.Counter[str] = collections.Counter()
+        self.dropped: collections.Counter[tuple[str, str]] = collections.Counter()
+        self.count_this_second: collections.Counter[str] = collections.Counter()
         self.second = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
@@ -60,44 +60,44 @@
         second = int(time.monotonic())
         if second != self.second:
             self.second = second
-            self.in_second.clear()
-        self.in_second[event] += 1
-        if self.in_second[event] > MOST_A_SECOND:
-            self.left_out[event, "frequent"] += 1
-        elif len(self.lines) >= MOST_WAITING:
-            self.left_out[event, "reader_stalls"] += 1
+            self.count_this_second.clear()
+        self.count_this_second[event] += 1
+        if self.count_this_second[event] > MAX_LINES_PER_SECOND:
+            self.dropped[event, "frequent"] += 1
+        elif len(self.lines) >= MAX_QUEUED_LINES:
+            self.dropped[event, "reader_stalls"] += 1
         else:
             self.lines.append(self.format(record))
 
     def flush(self) -> None:
         """Write what waits, as far as the reader takes it."""
-        while self.rest or self.lines:
-            if not self.rest:
-                self.rest = self._chunk()
-            written = self.write(self.rest)
+        while self.unwritten or self.lines:
+            if not self.unwritten:
+                self.unwritten = self._chunk()
+            written = self.write(self.unwritten)
             if written <= 0:
                 return
-            self.rest = self.rest[written:]
-        if self.left_out:
-            self._say_left_out()
+            self.unwritten = self.unwritten[written:]
+        if self.dropped:
+            self._log_dropped()
 
     def run(self) -> t.NoReturn:
         """Write again and again."""
         while True:
-            gevent.sleep(FLUSH_INTERVAL)
+            gevent.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
     def _chunk(self) -> bytes:
         lines: list[str] = []
         size = 0
-        while self.lines and size < CHUNK:
+        while self.lines and size < MAX_WRITE_BYTES:
             line = self.lines.popleft()
             lines.append(line)
             size += len(line) + 1
         return ("\n".join(lines) + "\n").encode()
 
-    def _say_left_out(self) -> None:
-        left_out, self.left_out = self.left_out, collections.Counter()
+    def _log_dropped(self) -> None:
+        left_out, self.dropped = self.dropped, collections.Counter()
         for (event, reason), count in left_out.items():
             log.warning("lines left out", of=event, reason=reason, count=count)
 
@@ -105,10 +105,10 @@
 log = logbook.Logger("logs")
 
 
-def write_out(data: bytes) -> int:
+def write_stdout(data: bytes) -> int:
     """Write to standard output, and return how many bytes it took at once."""
     try:
-        return os.write(sys.stdout.fileno(), data[:CHUNK])
+        return os.write(sys.stdout.fileno(), data[:MAX_WRITE_BYTES])
     except OSError as exc:
         if exc.errno in (errno.EAGAIN, errno.EWOULDBLOCK):
             return 0
@@ -143,7 +143,7 @@
     """
     if write is None:
         gevent.os.make_nonblocking(sys.stdout.fileno())
-        write = write_out
+        write = write_stdout
     handler = BoundedHandler(write, level.upper())
     handler.push_application()
 
