--- a/src/mangosail/tls/keys.py
+++ b/src/mangosail/tls/keys.py
@@ -24,9 +24,9 @@
 log = logbook.Logger("tls")
 
 #: Seconds between two looks at the files.
-WATCH_INTERVAL = 2.0
+WATCH_INTERVAL_S = 2.0
 #: How PEM text begins; anything else is a path.
-PEM_START = "-----BEGIN"
+PEM_PREFIX = "-----BEGIN"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
 
 def _pem(flag: str, source: str) -> bytes:
-    if source.lstrip().startswith(PEM_START):
+    if source.lstrip().startswith(PEM_PREFIX):
         return source.encode()
     try:
         return pathlib.Path(source).read_bytes()
@@ -80,7 +80,10 @@
 def load(context: ssl.SSLContext, keys: Keys) -> None:
     """Put `keys` in use for the handshakes to come."""
     try:
-        with _as_file(keys.certificate) as certificate, _as_file(keys.key) as key:
+        with (
+            _memory_file(keys.certificate) as certificate,
+            _memory_file(keys.key) as key,
+        ):
             context.load_cert_chain(certificate, key)
         x509.load_pem_x509_certificates(keys.authority)
     except (ssl.SSLError, ValueError) as exc:
@@ -91,7 +94,7 @@
 
 
 @contextlib.contextmanager
-def _as_file(data: bytes) -> t.Iterator[str]:
+def _memory_file(data: bytes) -> t.Iterator[str]:
     """Lend `data` a path: the ssl module reads files only, and there is no disk."""
     descriptor = os.memfd_create("mangosail-pem", os.MFD_CLOEXEC)
     try:
@@ -110,12 +113,12 @@
         self.current = read(sources)
         self.version = 1
         self.context = server_context(self.current)
-        self.seen = self._stamps()
+        self.loaded_stamps = self._file_stamps()
 
     def refresh(self) -> None:
         """Read the keys again if a file changed; keep the old ones if they fail."""
-        stamps = self._stamps()
-        if stamps == self.seen:
+        stamps = self._file_stamps()
+        if stamps == self.loaded_stamps:
             return
         try:
             keys = read(self.sources)
@@ -127,7 +130,7 @@
             self.counters.count("tls.reload_failed")
             log.warning("keys not reloaded", why=str(exc))
             return
-        self.seen = stamps
+        self.loaded_stamps = stamps
         self.current = keys
         self.version += 1
         self.counters.count("tls.reloaded")
@@ -136,13 +139,13 @@
     def watch_forever(self) -> None:
         """Look for changed files again and again."""
         while True:
-            gevent.sleep(WATCH_INTERVAL)
+            gevent.sleep(WATCH_INTERVAL_S)
             self.refresh()
 
-    def _stamps(self) -> tuple[tuple[int, int], ...]:
+    def _file_stamps(self) -> tuple[tuple[int, int], ...]:
         stamps = []
         for source in dataclasses.astuple(self.sources):
-            if source.lstrip().startswith(PEM_START):
+            if source.lstrip().startswith(PEM_PREFIX):
                 continue
             with contextlib.suppress(OSError):
                 found = os.stat(source)
--- a/src/mangosail/tls/peers.py
+++ b/src/mangosail/tls/peers.py
@@ -7,7 +7,7 @@
 from mangosail.tls import keys
 
 #: What a peer's certificate says it is called, as gRPC names the property.
-NAMES_PROPERTY = "x509_subject_alternative_name"
+SAN_PROPERTY = "x509_subject_alternative_name"
 
 
 def server_credentials(store: keys.KeyStore) -> grpc.ServerCredentials:
@@ -43,7 +43,7 @@
 
 def proved(context: grpc.ServicerContext) -> set[str]:
     """Return the names that the caller's certificate proves."""
-    found = context.auth_context().get(NAMES_PROPERTY, ())
+    found = context.auth_context().get(SAN_PROPERTY, ())
     return {name.decode() for name in found}
 
 
