--- a/src/mangosail/telemetry/__init__.py
+++ b/src/mangosail/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, timers and logs: how the program tells what it does."""
+"""Metrics and structured logs."""
--- a/src/mangosail/telemetry/counters.py
+++ b/src/mangosail/telemetry/counters.py
@@ -1,6 +1,6 @@
-"""Counters and timers, kept in the process and sent to statsd.
+"""Counters and timers, kept in memory and sent to statsd.
 
-Names are dotted, the last part being the reason::
+Names are dotted; the last part is the reason::
 
     counters.count("front.refused.no_capacity")
     counters.time("front.quote", seconds)
@@ -17,18 +17,18 @@
 
 #: Seconds between packets to statsd.
 FLUSH_INTERVAL_S = 1.0
-#: Times sent for each name at each flush, at most.
+#: Largest number of times sent for one name in one flush.
 MAX_TIMINGS_PER_FLUSH = 50
-#: Bytes of a packet that fits an Ethernet frame.
+#: Largest payload of a UDP packet that fits into an Ethernet frame.
 MAX_PACKET_BYTES = 1432
 
 
-#: Upper bounds in seconds of the classes in which times are counted.
+#: Upper bounds of the histogram buckets in seconds.
 BUCKET_BOUNDS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10)
 
 
 class Counters(t.Protocol):
-    """Where counts and times go."""
+    """Receives counts, times and gauges."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add `amount` to the counter `name`."""
@@ -37,7 +37,7 @@
         """Record that something named `name` took `seconds`."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Record the present value of `name`."""
+        """Record the current value of `name`."""
 
     def snapshot(self) -> dict[str, int]:
         """Return all counts since the process started."""
@@ -46,9 +46,9 @@
 class StatsdCounters:
     """Counters in memory that are also sent to a statsd server over UDP.
 
-    What was counted is summed up and sent by `flush`, once a second: a packet for
-    each count cost a system call on the path of each request. Of the times, a
-    sample of `TIMINGS_PER_FLUSH` for each name is sent.
+    Counts are summed up and sent by `flush` once a second, since one packet for each
+    count would add a system call to each request. Of the times, a random sample of
+    at most `MAX_TIMINGS_PER_FLUSH` for each name is sent.
     """
 
     def __init__(self, host: str | None, port: int, prefix: str = "mangosail") -> None:
@@ -59,7 +59,7 @@
         self.gauges: dict[str, float] = {}
         self.client = None
         if host:
-            # Only UDP: a TCP connection to a lost server would block.
+            # UDP, since a TCP connection to an unreachable server would block.
             self.client = statsd.StatsClient(
                 host, port, prefix=prefix, maxudpsize=MAX_PACKET_BYTES
             )
@@ -80,7 +80,7 @@
             self.timings.setdefault(name, ReservoirSample()).add(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Record the present value of `name`."""
+        """Record the current value of `name`."""
         if self.client:
             self.gauges[name] = value
 
@@ -89,7 +89,7 @@
         return dict(self.counts)
 
     def flush(self) -> None:
-        """Send what came together since the last time; a lost packet is lost."""
+        """Send what was recorded since the last flush; lost packets are not resent."""
         if self.client is None:
             return
         pending, self.pending = self.pending, collections.Counter()
@@ -105,14 +105,14 @@
                 packet.gauge(name, value)
 
     def flush_forever(self) -> None:
-        """Send to statsd again and again, if there is one."""
+        """Flush periodically, if a statsd server is configured."""
         while self.client is not None:
             gevent.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
 
 class Histogram:
-    """Times counted in classes."""
+    """Counts times in the buckets of `BUCKET_BOUNDS_S`."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKET_BOUNDS_S) + 1)
@@ -125,25 +125,25 @@
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, int]]:
-        """Return how many times were at most as long as each bound."""
+        """Return, for each bound, the number of times up to that bound."""
         sums = itertools.accumulate(self.counts)
         names = [*map(str, BUCKET_BOUNDS_S), "+Inf"]
         return list(zip(names, sums, strict=True))
 
 
 class ReservoirSample:
-    """Up to `TIMINGS_PER_FLUSH` of the values added, each as likely as another."""
+    """A uniform random sample of at most `MAX_TIMINGS_PER_FLUSH` added values."""
 
     def __init__(self) -> None:
         self.seen = 0
         self.values: list[float] = []
 
     def add(self, value: float) -> None:
-        """Take `value` in, in the place of a random one once there are enough."""
+        """Add `value`; once the sample is full it may replace a random one."""
         self.seen += 1
         if len(self.values) < MAX_TIMINGS_PER_FLUSH:
             self.values.append(value)
             return
-        place = random.randrange(self.seen)
-        if place < MAX_TIMINGS_PER_FLUSH:
-            self.values[place] = value
+        index = random.randrange(self.seen)
+        if index < MAX_TIMINGS_PER_FLUSH:
+            self.values[index] = value
--- a/src/mangosail/telemetry/exposition.py
+++ b/src/mangosail/telemetry/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and times as text on the metrics address, in Prometheus' format."""
+"""Serves counters and times in the Prometheus text format."""
 
 import collections.abc as cabc
 import typing as t
@@ -9,10 +9,10 @@
 
 
 class Exposition:
-    """A WSGI application that shows what a process has counted.
+    """A WSGI application that returns the metrics of the process.
 
-    The library is imported with the first request: it takes 0.12 s, which every
-    start of an instance would be later by.
+    `prometheus_client` is imported on the first request, because its import takes
+    0.12 s and would delay each start of an instance.
     """
 
     def __init__(self, counters: telemetry.StatsdCounters) -> None:
@@ -30,7 +30,7 @@
         return [text]
 
     def collect(self) -> cabc.Iterator[t.Any]:
-        """Yield what was counted, as the library takes it."""
+        """Yield the metric families, as a `prometheus_client` collector does."""
         import prometheus_client.core as core
 
         for name, count in sorted(self.counters.counts.items()):
@@ -44,7 +44,7 @@
 
 
 def metric_name(name: str) -> str:
-    """Return a dotted name as the format allows it.
+    """Convert a dotted name to a valid Prometheus metric name.
 
     >>> plain("front.refused.no_capacity")
     'mangosail_front_refused_no_capacity'
--- a/src/mangosail/telemetry/logs.py
+++ b/src/mangosail/telemetry/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs by logbook: one JSON line for each decision, never blocking.
+"""Structured logs: one JSON line for each event, without blocking the caller.
 
-Lines wait in a bounded queue and are written to standard output by a task of their
-own. A reader that stalls, or an event that comes too often, costs lines and never
-the request that was logged; what was left out is counted by event and said in a
-line of its own.
+Lines are queued in a bounded buffer and written to standard output by a greenlet.
+If the reader of the output stalls, or an event is logged too often, lines are
+dropped rather than requests delayed. Dropped lines are counted by event, and the
+counts are logged.
 """
 
 import collections
@@ -19,27 +19,27 @@
 import logbook
 import msgspec
 
-#: Id of the request that the present greenlet serves, or empty.
+#: Id of the request that the current greenlet serves, or empty.
 REQUEST_ID: contextvars.ContextVar[str] = contextvars.ContextVar(
     "request_id", default=""
 )
 
-#: Lines that wait to be written at most; about 1 MB.
+#: Largest number of queued lines, about 1 MB.
 MAX_QUEUED_LINES = 4000
-#: Lines of one event that are taken in a second; more are only counted. Above the
-#: 240 task starts a second that one instance has to log.
+#: Lines of one event that are logged in a second; further ones are only counted. It
+#: is above the 240 task starts a second that one instance has to log.
 MAX_LINES_PER_SECOND = 400
-#: Seconds between writings.
+#: Seconds between flushes.
 FLUSH_INTERVAL_S = 0.2
-#: Bytes that one system call writes at most. A pipe takes this much whole or not at
-#: all; of larger writes some readers lost the rest, and lines were torn.
+#: Largest number of bytes written by one system call. Up to this size a write to a
+#: pipe is atomic; larger writes led to truncated lines at some readers.
 MAX_WRITE_BYTES = 4096
 
 
 class BoundedHandler(logbook.Handler):
-    """Queues lines and leaves out what is too much.
+    """Queues lines and drops those above its limits.
 
-    `write` is called with bytes and returns how many it took.
+    `write` is called with bytes and returns how many of them it wrote.
     """
 
     def __init__(self, write: t.Callable[[bytes], int], level: str) -> None:
@@ -47,15 +47,15 @@
         self.write = write
         self.formatter = format_record
         self.lines: collections.deque[str] = collections.deque()
-        #: What is left of a chunk that was written in part.
+        #: Remainder of a chunk that was written only in part.
         self.unwritten = b""
-        #: Lines left out, by event and reason, since that was last said.
+        #: Dropped lines by event and reason since they were last logged.
         self.dropped: collections.Counter[tuple[str, str]] = collections.Counter()
         self.count_this_second: collections.Counter[str] = collections.Counter()
         self.second = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Queue a line, or count it as left out."""
+        """Queue a line, or count it as dropped."""
         event = record.message
         second = int(time.monotonic())
         if second != self.second:
@@ -70,7 +70,7 @@
             self.lines.append(self.format(record))
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write queued lines until the output would block."""
         while self.unwritten or self.lines:
             if not self.unwritten:
                 self.unwritten = self._chunk()
@@ -82,7 +82,7 @@
             self._log_dropped()
 
     def run(self) -> t.NoReturn:
-        """Write again and again."""
+        """Flush periodically."""
         while True:
             gevent.sleep(FLUSH_INTERVAL_S)
             self.flush()
@@ -97,8 +97,8 @@
         return ("\n".join(lines) + "\n").encode()
 
     def _log_dropped(self) -> None:
-        left_out, self.dropped = self.dropped, collections.Counter()
-        for (event, reason), count in left_out.items():
+        dropped, self.dropped = self.dropped, collections.Counter()
+        for (event, reason), count in dropped.items():
             log.warning("lines left out", of=event, reason=reason, count=count)
 
 
@@ -106,13 +106,13 @@
 
 
 def write_stdout(data: bytes) -> int:
-    """Write to standard output, and return how many bytes it took at once."""
+    """Write to standard output without blocking; return the number of bytes written."""
     try:
         return os.write(sys.stdout.fileno(), data[:MAX_WRITE_BYTES])
     except OSError as exc:
         if exc.errno in (errno.EAGAIN, errno.EWOULDBLOCK):
             return 0
-        # Nobody reads any more; there is nowhere to say so.
+        # The reader is gone, so the error cannot be reported; discard the data.
         return len(data)
 
 
@@ -137,9 +137,9 @@
     level: str = "INFO",
     write: t.Callable[[bytes], int] | None = None,
 ) -> BoundedHandler:
-    """Send logs of the whole process to standard output, one line each.
+    """Send all logs of the process to standard output as JSON lines.
 
-    Returns the handler, whose `flush` writes what waits when the process ends.
+    Returns the handler; its `flush` writes the remaining lines when the process ends.
     """
     if write is None:
         gevent.os.make_nonblocking(sys.stdout.fileno())
--- a/tests/telemetry/steps/telemetry_steps.py
+++ b/tests/telemetry/steps/telemetry_steps.py
@@ -12,13 +12,13 @@
 from mangosail.cli import main as commands
 from mangosail.telemetry import counters, exposition, logs
 
-#: Names of methods that send, and their kind in docs/METRICS.md.
+#: Methods that record a metric, and the kind that docs/METRICS.md gives it.
 KINDS = {"count": "count", "time": "time", "gauge": "gauge"}
 ROW = re.compile(r"^\| `([^`]+)` \| (\w+) \| [^|]+ \| ([^|]*) ?\|$", re.M)
 
 
 def pattern_of(path, node):
-    """Return the name that a call sends, with <> for what is filled in."""
+    """Return the metric name in a call, with <> for parts filled in at run time."""
     if sources.constant(node) is not None:
         return node.value
     if isinstance(node, ast.JoinedStr):
@@ -74,8 +74,10 @@
 
 @then("each name that stands for several has its reasons listed")
 def reasons_listed(context):
-    bare = [n for (n, _), reasons in documented().items() if "<>" in n and not reasons]
-    assert not bare, f"without reasons in docs/METRICS.md: {bare}"
+    without_reasons = [
+        n for (n, _), reasons in documented().items() if "<>" in n and not reasons
+    ]
+    assert not without_reasons, f"without reasons in docs/METRICS.md: {without_reasons}"
 
 
 @given("a statsd server")
@@ -148,7 +150,7 @@
     return len(data)
 
 
-@given("a reader of the log that stalls")
+@given("a stalled reader of the log")
 def stalled_reader(context):
     context.out = bytearray()
     context.taking = False
@@ -167,7 +169,7 @@
     context.took = time.monotonic() - began
 
 
-@when("the reader goes on")
+@when("the reader resumes")
 def reader_goes_on(context):
     context.taking = True
     with context.handler.applicationbound():
@@ -176,12 +178,12 @@
     context.lines = [json.loads(line) for line in context.out.splitlines()]
 
 
-@then("the lines that were left out are counted, and with those written make {count:d}")
+@then("the lines dropped are counted, and with those written make {count:d}")
 def left_out(context, count):
-    said = [line for line in context.lines if line["event"] == "lines left out"]
-    assert said
-    written = len(context.lines) - len(said)
-    assert written + sum(line["count"] for line in said) == count
+    reports = [line for line in context.lines if line["event"] == "lines left out"]
+    assert reports
+    written = len(context.lines) - len(reports)
+    assert written + sum(line["count"] for line in reports) == count
 
 
 @given("a process that has counted and timed")
@@ -257,7 +259,7 @@
         seen |= {line.partition(":")[0] for line in lines}
 
 
-STORY = """\
+EXAMPLE_LOGS = """\
  12.5 edge-2 {"time":"2026-01-01T00:00:02","instance":"edge-2","event":"ended",\
 "slice":"reports","task":"aa.0.0.1","outcome":"done"}
 {"time":"2026-01-01T00:00:00","instance":"edge-1","event":"handed in",\
@@ -273,15 +275,15 @@
 
 
 @given('logs of two instances about the jobs "aa" and "bb"')
-def story(context):
-    context.story = STORY
+def example_logs(context):
+    context.log_text = EXAMPLE_LOGS
 
 
 @when('the job "{job_id}" is explained')
 def explained(context, job_id, *options):
     arguments = ["explain", job_id, *options]
     context.done = testing.CliRunner().invoke(
-        commands.app, arguments, input=context.story
+        commands.app, arguments, input=context.log_text
     )
 
 
@@ -292,18 +294,18 @@
 
 @then("its three lines come in order of time, and none of the other job")
 def three_lines(context):
-    events = [line.split("edge-")[1][2:].strip() for line in told(context)]
+    events = [line.split("edge-")[1][2:].strip() for line in output_lines(context)]
     assert [e.split()[0] for e in events] == ["handed", "started", "ended"], events
 
 
-def told(context):
+def output_lines(context):
     assert context.done.exit_code == 0, context.done.output
     return context.done.output.splitlines()
 
 
-@then("the lost worker stands between them")
+@then("the lost worker is shown between them")
 def lost_between(context):
-    assert "worker lost" in told(context)[1], told(context)
+    assert "worker lost" in output_lines(context)[1], output_lines(context)
 
 
 @then("the command fails and says that no line is about it")
@@ -313,13 +315,13 @@
 
 
 def line(at, event, **fields):
-    facts = {"time": f"2026-01-01T00:00:{at:06.3f}", "instance": "edge-1"}
-    return json.dumps({**facts, "event": event, "slice": "any", **fields})
+    common = {"time": f"2026-01-01T00:00:{at:06.3f}", "instance": "edge-1"}
+    return json.dumps({**common, "event": event, "slice": "any", **fields})
 
 
 @given('logs of three jobs of the queue "q"')
 def three_jobs(context):
-    context.story = "\n".join(
+    context.log_text = "\n".join(
         (
             line(1, "handed in", job="aa", queue="q", outcome="accepted"),
             line(1.1, "job taken", job="aa", queue="q"),
@@ -339,7 +341,7 @@
 def reported(context, *options):
     arguments = ["report", *options]
     context.done = testing.CliRunner().invoke(
-        commands.app, arguments, input=context.story
+        commands.app, arguments, input=context.log_text
     )
 
 
@@ -350,7 +352,7 @@
 
 @then("the queue has {jobs:d} jobs, {completed:d} completed, {still_open:d} open")
 def queue_counts(context, jobs, completed, still_open):
-    context.cells = told(context)[1].split()
+    context.cells = output_lines(context)[1].split()
     assert context.cells[:4] == ["q", str(jobs), str(completed), str(still_open)]
 
 
@@ -361,11 +363,11 @@
 
 @then('"{first}" and "{second}" are counted once')
 def queue_reasons(context, first, second):
-    rows = {" ".join(row.split()) for row in told(context)[2:]}
+    rows = {" ".join(row.split()) for row in output_lines(context)[2:]}
     assert rows == {f"1 {first}", f"1 {second}"}, rows
 
 
-@then("the same is told by name")
+@then("the JSON has the same figures by name")
 def queue_json(context):
     queue = json.loads(context.done.output)["q"]
     assert queue["jobs"] == 3 and queue["states"] == {"completed": 1}, queue
