--- a/src/mangosail/tls/__init__.py
+++ b/src/mangosail/tls/__init__.py
@@ -1,1 +1,1 @@
-"""TLS: this instance's certificate and key, and the authority it trusts."""
+"""TLS: the instance's certificate and key, and the authority that it trusts."""
--- a/src/mangosail/tls/keys.py
+++ b/src/mangosail/tls/keys.py
@@ -1,7 +1,7 @@
-"""The keys in use, read from files or given as text, and read again on change.
+"""Loads the certificate, key and authority, and reloads them when a file changes.
 
-Each of the three is the path of a PEM file or, from the environment, the PEM text
-itself::
+Each of the three is the path of a PEM file or the PEM text itself, as given in an
+environment variable::
 
     store = keys.KeyStore(sources, counters)
     store.current.certificate
@@ -23,15 +23,15 @@
 
 log = logbook.Logger("tls")
 
-#: Seconds between two looks at the files.
+#: Seconds between checks for changed files.
 WATCH_INTERVAL_S = 2.0
-#: How PEM text begins; anything else is a path.
+#: Prefix of PEM text; anything else is a path.
 PEM_PREFIX = "-----BEGIN"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sources:
-    """Where each of the three comes from: a path, or PEM text."""
+    """The configured sources, each a path or PEM text."""
 
     certificate: str
     key: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Keys:
-    """Certificate chain, key and trusted authority that belong together, as PEM."""
+    """A matching certificate chain and key, and the trusted authority, as PEM."""
 
     certificate: bytes
     key: bytes
@@ -48,7 +48,7 @@
 
 
 def read(sources: Sources) -> Keys:
-    """Return the keys, or raise `ConfigurationError` if they are of no use."""
+    """Read and validate the keys; raise `ConfigurationError` if they are invalid."""
     keys = Keys(
         _pem("--tls-certificate", sources.certificate),
         _pem("--tls-key", sources.key),
@@ -70,7 +70,7 @@
 
 
 def server_context(keys: Keys) -> ssl.SSLContext:
-    """Return the context under which callers are served."""
+    """Return the TLS context of the server for callers."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     load(context, keys)
@@ -78,7 +78,7 @@
 
 
 def load(context: ssl.SSLContext, keys: Keys) -> None:
-    """Put `keys` in use for the handshakes to come."""
+    """Load `keys` into `context`, for new handshakes only."""
     try:
         with (
             _memory_file(keys.certificate) as certificate,
@@ -95,7 +95,7 @@
 
 @contextlib.contextmanager
 def _memory_file(data: bytes) -> t.Iterator[str]:
-    """Lend `data` a path: the ssl module reads files only, and there is no disk."""
+    """Provide `data` as an in-memory file, since the ssl module reads only files."""
     descriptor = os.memfd_create("mangosail-pem", os.MFD_CLOEXEC)
     try:
         os.write(descriptor, data)
@@ -105,7 +105,7 @@
 
 
 class KeyStore:
-    """The keys in use; `version` moves on with each change."""
+    """The keys in use; `version` increases with each reload."""
 
     def __init__(self, sources: Sources, counters: telemetry.Counters) -> None:
         self.sources = sources
@@ -116,7 +116,7 @@
         self.loaded_stamps = self._file_stamps()
 
     def refresh(self) -> None:
-        """Read the keys again if a file changed; keep the old ones if they fail."""
+        """Reload the keys if a file changed; keep the old ones if that fails."""
         stamps = self._file_stamps()
         if stamps == self.loaded_stamps:
             return
@@ -124,9 +124,9 @@
             keys = read(self.sources)
             load(self.context, keys)
         except errors.ConfigurationError as exc:
-            # Files are replaced one after the other: for a moment key and
-            # certificate don't fit. The old ones serve on, and as `seen` stays
-            # behind, the next look reads the files again.
+            # Files are replaced one by one, so key and certificate may not match
+            # for a moment. The old keys stay in use, and since `loaded_stamps` is
+            # not updated, the next check reads the files again.
             self.counters.count("tls.reload_failed")
             log.warning("keys not reloaded", why=str(exc))
             return
@@ -137,7 +137,7 @@
         log.info("keys reloaded", version=self.version)
 
     def watch_forever(self) -> None:
-        """Look for changed files again and again."""
+        """Check for changed files periodically."""
         while True:
             gevent.sleep(WATCH_INTERVAL_S)
             self.refresh()
--- a/src/mangosail/tls/peers.py
+++ b/src/mangosail/tls/peers.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between instances: each proves its name to the other by gRPC."""
+"""Mutual TLS between instances: gRPC authenticates each by its certificate."""
 
 import typing as t
 
@@ -6,12 +6,12 @@
 
 from mangosail.tls import keys
 
-#: What a peer's certificate says it is called, as gRPC names the property.
+#: gRPC's property for the subject alternative names of a peer's certificate.
 SAN_PROPERTY = "x509_subject_alternative_name"
 
 
 def server_credentials(store: keys.KeyStore) -> grpc.ServerCredentials:
-    """Return credentials that follow `store` and ask peers for a certificate."""
+    """Return credentials that use the current keys and require client certificates."""
     return grpc.dynamic_ssl_server_credentials(
         _configuration(store.current),
         lambda: _configuration(store.current),
@@ -30,28 +30,28 @@
     store: keys.KeyStore | None,
     options: t.Sequence[tuple[str, t.Any]],
 ) -> grpc.Channel:
-    """Return a channel to the peer `name`; in plain text if there is no store."""
+    """Return a channel to the peer `name`, in plain text if `store` is None."""
     if store is None:
         return grpc.insecure_channel(address, options=options)
     credentials = grpc.ssl_channel_credentials(
         store.current.authority, store.current.key, store.current.certificate
     )
-    # Peers are reached by IP number; what is proved is the instance's name.
+    # Peers are reached by IP address, but certificates carry the instance's name.
     named = (*options, ("grpc.ssl_target_name_override", name))
     return grpc.secure_channel(address, credentials, options=named)
 
 
 def proved(context: grpc.ServicerContext) -> set[str]:
-    """Return the names that the caller's certificate proves."""
+    """Return the names in the caller's verified certificate."""
     found = context.auth_context().get(SAN_PROPERTY, ())
     return {name.decode() for name in found}
 
 
 def is_sender(message: t.Any, names: set[str], known: t.Container[str]) -> bool:
-    """Tell whether one of `names` may have sent `message`.
+    """Return whether `message` may come from a peer authenticated as `names`.
 
-    A message that says whom it is from must be from that instance, any other from
-    some known one.
+    A message that names its sender must come from that instance, any other message
+    from a known instance.
     """
     sender = getattr(message, "instance", None)
     if sender is not None:
--- a/tests/tls/measure.py
+++ b/tests/tls/measure.py
@@ -1,4 +1,4 @@
-"""What TLS costs a caller's quote: ``python -m tests.tls.measure``."""
+"""Measures the latency that TLS adds to a quote: ``python -m tests.tls.measure``."""
 
 import pathlib
 import tempfile
--- a/tests/tls/steps/tls_steps.py
+++ b/tests/tls/steps/tls_steps.py
@@ -74,7 +74,7 @@
 
 @then("each goes on reaching the other")
 def each_goes_on(context):
-    # A peer that no longer answers is dropped after 3 s.
+    # A peer that does not answer counts as unreachable after 3 s.
     end = time.monotonic() + 4.0
     while time.monotonic() < end:
         for name, other in (PAIR, PAIR[::-1]):
@@ -107,7 +107,7 @@
 def join_stranger(context):
     stranger = certificates.Authority(context.authority.folder, "stranger")
     stranger.issue("stranger-0")
-    # It trusts the pair's authority, so only its own certificate is at fault.
+    # It trusts the pair's authority, so only its own certificate is invalid.
     variables = stranger.variables("stranger-0")
     variables["MANGOSAIL_TLS_AUTHORITY"] = str(context.authority.path)
     start(context, "stranger-0", variables)
@@ -115,7 +115,7 @@
 
 @then("neither is reached by the two, nor reaches them")
 def neither_reached(context):
-    # Each has tried the others, and been tried, when failures were counted.
+    # By then heartbeats between the pair and the refused instances have failed.
     for name in PAIR:
         stage.wait_until(lambda n=name: tried(context, n) >= 6, what="heartbeats")
         status = fetch(context, name, "/v1/status")
@@ -141,7 +141,7 @@
     return x509.load_pem_x509_certificate(text.encode()).serial_number
 
 
-@when("the certificate alone is replaced, then the key")
+@when("first only the certificate is replaced, then the key")
 def replace_keys(context):
     folder = context.authority.folder
     context.serial = context.authority.issue(PAIR[0], file="new")
@@ -161,7 +161,7 @@
     assert reloads(context, "failed")
 
 
-@then("callers are shown the new certificate")
+@then("callers receive the new certificate")
 def new_shown(context):
     stage.wait_until(lambda: serial(context, PAIR[0]) == context.serial, what="new key")
     assert reloads(context, "done") == 1
--- a/tests/tls/tls.feature
+++ b/tests/tls/tls.feature
@@ -1,7 +1,7 @@
 Feature: TLS
-  Callers, operators and peers speak TLS; plain text only where it was asked for.
+  Callers, operators and peers use TLS; plain text has to be enabled explicitly.
 
-  Scenario: An instance without keys refuses to start in plain text unasked
+  Scenario: An instance without keys refuses to start unless --plaintext is given
     When an instance is started without keys and without --plaintext
     Then it ends with status 2 and names "--tls-certificate" and "--plaintext"
     When an instance is started with the key of another certificate
@@ -13,20 +13,20 @@
     And a caller that trusts the authority gets an answer over TLS
     And a caller in plain text gets none
 
-  Scenario: A peer is refused whose certificate names another, or has another signer
-    The peers reach each other only by certificates that name them. One with a
-    certificate of a stranger's authority, or of another instance's name, sends
-    heartbeats in vain: nobody counts it as reachable, so no work goes there.
+  Scenario: A peer with a certificate of another name or authority is refused
+    An instance whose certificate has another instance's name, or is signed by an
+    unknown authority, must not exchange heartbeats with others. No instance counts
+    it as reachable, so it receives no work.
     Given two instances with certificates, one with its keys in the environment
     When an instance joins with a certificate for another name
     And an instance joins with a certificate of another authority
     Then neither is reached by the two, nor reaches them
 
   Scenario: New keys are in use without a restart
-    The certificate file is replaced before its key file. In between the pair does
-    not fit; the instance serves on with the old one and takes the new pair whole.
+    The certificate file is replaced before its key file, so the two do not match for
+    a moment. The instance must keep using the old pair until the new one is complete.
     Given two instances with certificates, one with its keys in the environment
-    When the certificate alone is replaced, then the key
+    When first only the certificate is replaced, then the key
     Then the failed reload is counted
-    And callers are shown the new certificate
+    And callers receive the new certificate
     And each goes on reaching the other
