--- a/src/mangosail/cli/client.py
+++ b/src/mangosail/cli/client.py
@@ -15,9 +15,9 @@
 from mangosail.cli import exits
 
 #: Seconds until a connection that does not come about is given up.
-CONNECT_TIMEOUT = 5.0
+CONNECT_TIMEOUT_S = 5.0
 #: Seconds of silence after which an answer is taken for lost.
-NETWORK_TIMEOUT = 60.0
+NETWORK_TIMEOUT_S = 60.0
 
 Server = t.Annotated[
     str,
@@ -82,7 +82,7 @@
         except ValueError:
             port = None
         if not parts.hostname or parts.scheme not in ("http", "https") or not port:
-            exits.leave(
+            exits.exit_with(
                 exits.USAGE,
                 f"--server (MANGOSAIL_SERVER): {server!r}: expected an IP number and "
                 "a port, or an http(s) URL with a port",
@@ -109,19 +109,21 @@
                 float(str(after)) if after else None,
             )
         except (OSError, http_response.HTTPParseError) as exc:
-            raise self._broken(exc) from exc
+            raise self._reset(exc) from exc
 
-    def lines(self, path: str) -> cabc.Iterator[bytes]:
+    def stream_lines(self, path: str) -> cabc.Iterator[bytes]:
         """Yield the lines of a stream; raise `Unreachable` if it breaks off."""
         try:
             response = self.http.get(path)
             if response.status_code != 200:
                 body = bytes(response.read())
-                exits.leave(exits.FAILED, Reply(response.status_code, body).refusal())
+                exits.exit_with(
+                    exits.FAILED, Reply(response.status_code, body).refusal()
+                )
             while line := response.readline(sep=b"\n"):
                 yield bytes(line).rstrip(b"\r\n")
         except (OSError, http_response.HTTPParseError) as exc:
-            raise self._broken(exc) from exc
+            raise self._reset(exc) from exc
 
     def _open(self) -> geventhttpclient.HTTPClient:
         authority = os.environ.get("MANGOSAIL_AUTHORITY")
@@ -129,13 +131,13 @@
             self.host,
             port=self.port,
             ssl=self.secure,
-            connection_timeout=CONNECT_TIMEOUT,
-            network_timeout=NETWORK_TIMEOUT,
+            connection_timeout=CONNECT_TIMEOUT_S,
+            network_timeout=NETWORK_TIMEOUT_S,
             ssl_options={"ca_certs": authority} if authority else None,
             headers={"Authorization": f"Bearer {self.token}"},
         )
 
-    def _broken(self, exc: Exception) -> Unreachable:
+    def _reset(self, exc: Exception) -> Unreachable:
         # A closed pool refuses all later requests, so the next one gets a new
         # pool; keeping the old one would offer connections that are dead too.
         self.http.close()
@@ -154,13 +156,13 @@
         try:
             token = token_file.read_text().strip()
         except OSError as exc:
-            exits.leave(
+            exits.exit_with(
                 exits.USAGE,
                 f"--token-file (MANGOSAIL_TOKEN_FILE): {str(token_file)!r}: "
                 f"expected a readable file: {exc.strerror}",
             )
     if not token:
-        exits.leave(
+        exits.exit_with(
             exits.USAGE,
             "--token-file (MANGOSAIL_TOKEN_FILE) or MANGOSAIL_TOKEN: expected a "
             "bearer token",
@@ -173,7 +175,7 @@
     try:
         reply = client.call(method, path, body)
     except Unreachable as exc:
-        exits.leave(exits.UNREACHABLE, str(exc))
+        exits.exit_with(exits.UNREACHABLE, str(exc))
     if not reply.ok:
-        exits.leave(exits.FAILED, reply.refusal())
+        exits.exit_with(exits.FAILED, reply.refusal())
     return reply.json()
--- a/src/mangosail/cli/exits.py
+++ b/src/mangosail/cli/exits.py
@@ -14,7 +14,7 @@
 UNKNOWN = 4
 
 
-def leave(status: int, message: str) -> t.NoReturn:
+def exit_with(status: int, message: str) -> t.NoReturn:
     """Print `message` on standard error and end the program with `status`."""
     typer.echo(message, err=True)
     raise typer.Exit(status)
--- a/src/mangosail/cli/explain.py
+++ b/src/mangosail/cli/explain.py
@@ -12,7 +12,7 @@
 from mangosail.cli import exits
 
 #: Fields that every line has, or that say which job it is about.
-COMMON = frozenset(
+COMMON_FIELDS = frozenset(
     {"time", "level", "slice", "event", "instance", "data_centre", "job", "exception"}
 )
 
@@ -31,9 +31,9 @@
 ]
 
 #: Slices whose lines tell what an instance believes, whatever the job.
-BELIEFS = frozenset({"leadership", "journal", "catalog", "process", "following"})
+STATE_SLICES = frozenset({"leadership", "journal", "catalog", "process", "following"})
 #: Events of other slices that do.
-BELIEF_EVENTS = frozenset(
+STATE_EVENTS = frozenset(
     {
         "worker unreachable", "worker reached", "worker lost", "worker set aside",
         "worker unlisted", "worker drains", "took over", "no longer leading", "state",
@@ -59,16 +59,16 @@
                 return True
         return False
 
-    def belief(self) -> bool:
+    def is_state_change(self) -> bool:
         """Tell whether the line says what an instance came to believe."""
-        return self.slice in BELIEFS or self.event in BELIEF_EVENTS
+        return self.slice in STATE_SLICES or self.event in STATE_EVENTS
 
-    def shown(self, mark: str) -> str:
+    def formatted(self, mark: str) -> str:
         """Return the line for a person to read."""
         details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in COMMON
+            if name not in COMMON_FIELDS
         )
         return (
             f"{self.time[11:23]} {mark} {self.instance:<16} {self.event:<16} {details}"
@@ -81,19 +81,19 @@
     Lines that are not JSON are passed over, and text before a line's JSON is cut
     off, so that output gathered by other tools can be read as it is.
     """
-    lines = sorted(parsed(texts(files or [])), key=lambda line: line.time)
+    lines = sorted(parse_lines(read_lines(files or [])), key=lambda line: line.time)
     own = [line for line in lines if line.about(request_id)]
     if not own:
-        exits.leave(exits.USAGE, f"{request_id}: no line of the logs is about it")
+        exits.exit_with(exits.USAGE, f"{request_id}: no line of the logs is about it")
     first, last = own[0].time, own[-1].time
     for line in lines:
         if line.about(request_id):
-            typer.echo(line.shown("*"))
-        elif around and first <= line.time <= last and line.belief():
-            typer.echo(line.shown(" "))
+            typer.echo(line.formatted("*"))
+        elif around and first <= line.time <= last and line.is_state_change():
+            typer.echo(line.formatted(" "))
 
 
-def texts(files: cabc.Sequence[pathlib.Path]) -> cabc.Iterator[str]:
+def read_lines(files: cabc.Sequence[pathlib.Path]) -> cabc.Iterator[str]:
     """Yield the lines of the files, or of standard input."""
     if not files:
         yield from sys.stdin
@@ -103,12 +103,12 @@
             with path.open(errors="replace") as file:
                 yield from file
         except OSError as exc:
-            exits.leave(
+            exits.exit_with(
                 exits.USAGE, f"{path}: expected a readable file: {exc.strerror}"
             )
 
 
-def parsed(lines: cabc.Iterable[str]) -> cabc.Iterator[Line]:
+def parse_lines(lines: cabc.Iterable[str]) -> cabc.Iterator[Line]:
     """Yield the lines that are an instance's."""
     for text in lines:
         start = text.find('{"time"')
--- a/src/mangosail/cli/flags.py
+++ b/src/mangosail/cli/flags.py
@@ -34,7 +34,7 @@
     return PREFIX + field.upper()
 
 
-def of(
+def from_model(
     model: type[Model],
 ) -> cabc.Callable[[cabc.Callable[[Model], None]], cabc.Callable[..., None]]:
     """Give a command one flag for each field of `model`."""
@@ -42,7 +42,7 @@
     def decorate(command: cabc.Callable[[Model], None]) -> cabc.Callable[..., None]:
         @functools.wraps(command)
         def run(**values: t.Any) -> None:
-            command(checked(model, values))
+            command(validate(model, values))
 
         parameters = [_parameter(*item) for item in model.model_fields.items()]
         # Typer reads both; without them it would see only ``**values``.
@@ -53,16 +53,16 @@
     return decorate
 
 
-def checked(model: type[Model], values: cabc.Mapping[str, t.Any]) -> Model:
+def validate(model: type[Model], values: cabc.Mapping[str, t.Any]) -> Model:
     """Return the settings, or end the program naming each flag that is wrong."""
     given = {name: value for name, value in values.items() if value is not None}
     try:
         return model(**given)
     except pydantic.ValidationError as exc:
-        exits.leave(exits.USAGE, "\n".join(complaints(exc)))
+        exits.exit_with(exits.USAGE, "\n".join(error_lines(exc)))
 
 
-def complaints(exc: pydantic.ValidationError) -> list[str]:
+def error_lines(exc: pydantic.ValidationError) -> list[str]:
     """Return a line for each error: the flag, the value and what was expected."""
     lines = []
     for error in exc.errors():
--- a/src/mangosail/cli/report.py
+++ b/src/mangosail/cli/report.py
@@ -18,20 +18,20 @@
 ]
 
 #: Characters of each of the table's columns.
-WIDTH = 14
+COLUMN_WIDTH = 14
 #: Reasons that the table shows of each queue, the most frequent first.
-MOST_REASONS = 5
+MAX_REASONS = 5
 
 
 @dataclasses.dataclass(slots=True)
-class Story:
+class JobTimeline:
     """What the logs tell of one job; times in seconds since 1970."""
 
     queue: str = ""
-    handed_in: float | None = None
-    taken: float | None = None
-    started: float | None = None
-    ended: float | None = None
+    submitted_at: float | None = None
+    accepted_at: float | None = None
+    started_at: float | None = None
+    ended_at: float | None = None
     state: str = ""
 
 
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spread:
+class Percentiles:
     """Seconds that half, and 95 of 100 jobs took at most."""
 
     half: float
@@ -62,7 +62,7 @@
     states: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    parts: dict[Part, Spread] = dataclasses.field(default_factory=dict)
+    parts: dict[Part, Percentiles] = dataclasses.field(default_factory=dict)
     #: Why hand-ins were not accepted, and runs lost, not begun or stopped.
     reasons: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -75,8 +75,8 @@
     The parts of a job's time are told apart: until the leader had it, until something
     of it ran, until its end. Times are those of the instances' own clocks.
     """
-    lines = list(explain.parsed(explain.texts(files or [])))
-    queues = gathered(lines)
+    lines = list(explain.parse_lines(explain.read_lines(files or [])))
+    queues = summarize(lines)
     if as_json:
         typer.echo(codec.to_json(queues))
         return
@@ -87,32 +87,32 @@
         times = [shown(queue.parts.get(part)) for part in Part]
         counts = [str(queue.jobs), str(queue.states["completed"]), str(open_jobs)]
         typer.echo(row(name, [*counts, *(text for pair in times for text in pair)]))
-        for reason, count in queue.reasons.most_common(MOST_REASONS):
+        for reason, count in queue.reasons.most_common(MAX_REASONS):
             typer.echo(f"  {count:>6}  {reason}")
 
 
 def row(name: str, cells: cabc.Sequence[str]) -> str:
     """Return a row of the table."""
-    return f"{name:<16}" + "".join(f"{cell:>{WIDTH}}" for cell in cells)
+    return f"{name:<16}" + "".join(f"{cell:>{COLUMN_WIDTH}}" for cell in cells)
 
 
-def shown(spread: Spread | None) -> tuple[str, str]:
+def shown(spread: Percentiles | None) -> tuple[str, str]:
     """Return the two figures of a part for a person."""
     if spread is None:
         return "-", "-"
     return f"{spread.half:.2f} s", f"{spread.most:.2f} s"
 
 
-def gathered(lines: cabc.Iterable[explain.Line]) -> dict[str, Queue]:
+def summarize(lines: cabc.Iterable[explain.Line]) -> dict[str, Queue]:
     """Return what the lines tell, by queue."""
-    stories: dict[str, Story] = collections.defaultdict(Story)
+    stories: dict[str, JobTimeline] = collections.defaultdict(JobTimeline)
     reasons: dict[str, collections.Counter[str]] = collections.defaultdict(
         collections.Counter
     )
     for line in sorted(lines, key=lambda line: line.time):
         job_id = job_of(line)
         if job_id:
-            read(stories[job_id], reasons[job_id], line)
+            record_line(stories[job_id], reasons[job_id], line)
     queues: dict[str, Queue] = collections.defaultdict(Queue)
     for job_id, story in stories.items():
         queue = queues[story.queue]
@@ -122,7 +122,7 @@
             queue.states[story.state] += 1
     for name, queue in queues.items():
         of_queue = [story for story in stories.values() if story.queue == name]
-        queue.parts = parts_of(of_queue)
+        queue.parts = part_percentiles(of_queue)
     return dict(queues)
 
 
@@ -135,27 +135,29 @@
     return ""
 
 
-def read(story: Story, reasons: collections.Counter[str], line: explain.Line) -> None:
+def record_line(
+    story: JobTimeline, reasons: collections.Counter[str], line: explain.Line
+) -> None:
     """Take in one line about a job."""
-    at = seconds_of(line.time)
+    at = timestamp_of(line.time)
     story.queue = str(line.fields.get("queue") or story.queue)
     if line.event == "handed in":
-        story.handed_in = at if story.handed_in is None else story.handed_in
+        story.submitted_at = at if story.submitted_at is None else story.submitted_at
         outcome = str(line.fields.get("outcome"))
         if outcome not in ("accepted", "repeated"):
             reasons[f"handed in: {outcome}"] += 1
     elif line.event == "job taken":
-        story.taken = at if story.taken is None else story.taken
+        story.accepted_at = at if story.accepted_at is None else story.accepted_at
     elif line.event == "started":
-        story.started = at if story.started is None else story.started
+        story.started_at = at if story.started_at is None else story.started_at
     elif line.event == "job ended":
-        story.ended = at
+        story.ended_at = at
         story.state = str(line.fields.get("state"))
     elif line.event in ("not started", "waiting again", "stopping", "start in doubt"):
         reasons[f"{line.event}: {line.fields.get('reason')}"] += 1
 
 
-def seconds_of(text: str) -> float | None:
+def timestamp_of(text: str) -> float | None:
     """Return the time of a line, or None if it has none."""
     try:
         return datetime.datetime.fromisoformat(text).timestamp()
@@ -163,12 +165,12 @@
         return None
 
 
-def parts_of(stories: cabc.Sequence[Story]) -> dict[Part, Spread]:
+def part_percentiles(stories: cabc.Sequence[JobTimeline]) -> dict[Part, Percentiles]:
     """Return how long each part took."""
     ends = {
-        Part.TAKEN: [(story.handed_in, story.taken) for story in stories],
-        Part.STARTED: [(story.taken, story.started) for story in stories],
-        Part.ENDED: [(story.started, story.ended) for story in stories],
+        Part.TAKEN: [(story.submitted_at, story.accepted_at) for story in stories],
+        Part.STARTED: [(story.accepted_at, story.started_at) for story in stories],
+        Part.ENDED: [(story.started_at, story.ended_at) for story in stories],
     }
     spreads = {}
     for part, pairs in ends.items():
@@ -178,13 +180,13 @@
             if first is not None and last is not None
         ]
         if times:
-            spreads[part] = spread_of(times)
+            spreads[part] = percentiles_of(times)
     return spreads
 
 
-def spread_of(times: cabc.Sequence[float]) -> Spread:
+def percentiles_of(times: cabc.Sequence[float]) -> Percentiles:
     """Return the median and the 95th percentile."""
     if len(times) == 1:
-        return Spread(times[0], times[0])
+        return Percentiles(times[0], times[0])
     cuts = statistics.quantiles(times, n=20, method="inclusive")
-    return Spread(round(statistics.median(times), 3), round(cuts[-1], 3))
+    return Percentiles(round(statistics.median(times), 3), round(cuts[-1], 3))
--- a/src/mangosail/cli/serve.py
+++ b/src/mangosail/cli/serve.py
@@ -18,14 +18,14 @@
 ]
 
 
-@flags.of(process.ProcessSettings)
+@flags.from_model(process.ProcessSettings)
 def serve(settings: process.ProcessSettings) -> None:
     """Run one entry instance until it is told to stop (SIGTERM)."""
     logs.setup(settings.instance, settings.data_centre, settings.log_level)
     try:
         instance.Instance(settings).run()
     except errors.ConfigurationError as exc:
-        exits.leave(exits.USAGE, str(exc))
+        exits.exit_with(exits.USAGE, str(exc))
 
 
 def check(file: SettingsFile = None) -> None:
@@ -34,15 +34,15 @@
     With --file alone in an environment without any process setting, only the
     file is checked.
     """
-    wrong = wrong_in_environment(needed=file is None)
+    wrong = environment_faults(needed=file is None)
     if file is not None:
-        wrong += wrong_in_file(file)
+        wrong += file_faults(file)
     if wrong:
-        exits.leave(exits.USAGE, "\n".join(wrong))
+        exits.exit_with(exits.USAGE, "\n".join(wrong))
     typer.echo("settings are in order")
 
 
-def wrong_in_environment(needed: bool) -> list[str]:
+def environment_faults(needed: bool) -> list[str]:
     """Return a line for each fault of the process settings in the environment.
 
     Unless they are `needed`, having none at all is no fault.
@@ -58,11 +58,11 @@
         }
         if missing == required and not needed:
             return []
-        return flags.complaints(exc)
+        return flags.error_lines(exc)
     return []
 
 
-def wrong_in_file(file: pathlib.Path) -> list[str]:
+def file_faults(file: pathlib.Path) -> list[str]:
     """Return a line for each fault of a team's settings in `file`."""
     try:
         content = codec.from_json(file.read_bytes(), object)
--- a/src/mangosail/cli/settings.py
+++ b/src/mangosail/cli/settings.py
@@ -21,7 +21,7 @@
 app = typer.Typer(no_args_is_help=True, help="Read and change a team's settings.")
 
 #: Seconds between attempts of a change, and between looks at its rollout.
-PAUSE = 0.5
+RETRY_INTERVAL_S = 0.5
 #: Statuses by which an answer says that asking again may help.
 UNAVAILABLE = 503
 #: Status for a team that is not there, or not the asker's.
@@ -55,7 +55,7 @@
         typer.echo(codec.to_json(found))
         return
     typer.echo(f"# revision {found['revision']} by {found['author']}", err=True)
-    typer.echo(pretty(found["content"]))
+    typer.echo(indented_json(found["content"]))
 
 
 @app.command("set")
@@ -71,7 +71,9 @@
 ) -> None:
     """Change a team's settings to what FILE holds."""
     asked = {"content": read(file), "change_id": change_id}
-    make(clients.connect(server, token_file), team, asked, revision, timeout, as_json)
+    make_change(
+        clients.connect(server, token_file), team, asked, revision, timeout, as_json
+    )
 
 
 @app.command()
@@ -87,7 +89,9 @@
 ) -> None:
     """Roll forward to the content of an earlier revision; tokens stay."""
     asked = {"content_of": content_of, "change_id": change_id}
-    make(clients.connect(server, token_file), team, asked, revision, timeout, as_json)
+    make_change(
+        clients.connect(server, token_file), team, asked, revision, timeout, as_json
+    )
 
 
 @app.command()
@@ -100,7 +104,7 @@
 ) -> None:
     """Print what `set` would change, without changing it."""
     there = clients.connect(server, token_file)
-    body = {"content": read(file), "revision": present(there, team)}
+    body = {"content": read(file), "revision": current_revision(there, team)}
     planned = ask(there, "PUT", f"/v1/settings/{team}?dry_run=true", body)
     show_change(planned, as_json)
 
@@ -145,21 +149,23 @@
         if all(shown.values()):
             return
         if time.monotonic() >= deadline:
-            exits.leave(exits.FAILED, f"not in force everywhere after {timeout:g} s")
-        time.sleep(PAUSE)
+            exits.exit_with(
+                exits.FAILED, f"not in force everywhere after {timeout:g} s"
+            )
+        time.sleep(RETRY_INTERVAL_S)
 
 
 @app.command("schema")
 def print_schema() -> None:
     """Print the JSON schema of a team's settings."""
-    typer.echo(pretty(schema.TeamSettings.model_json_schema()))
+    typer.echo(indented_json(schema.TeamSettings.model_json_schema()))
 
 
 @app.command()
 def check(file: pathlib.Path) -> None:
     """Check the settings that FILE holds, before use."""
-    if wrong := serve.wrong_in_file(file):
-        exits.leave(exits.USAGE, "\n".join(wrong))
+    if wrong := serve.file_faults(file):
+        exits.exit_with(exits.USAGE, "\n".join(wrong))
     typer.echo(f"{file}: good")
 
 
@@ -177,7 +183,9 @@
     try:
         return codec.from_json(file.read_bytes(), object)
     except (OSError, codec.DecodeError) as exc:
-        exits.leave(exits.USAGE, f"FILE: {str(file)!r}: expected a JSON file: {exc}")
+        exits.exit_with(
+            exits.USAGE, f"FILE: {str(file)!r}: expected a JSON file: {exc}"
+        )
 
 
 def ask(there: clients.Client, method: str, path: str, body: t.Any = None) -> t.Any:
@@ -186,26 +194,26 @@
     try:
         reply = there.call(method, path, data)
     except clients.Unreachable as exc:
-        exits.leave(exits.UNREACHABLE, str(exc))
+        exits.exit_with(exits.UNREACHABLE, str(exc))
     if not reply.ok:
-        refused(reply)
+        exit_refused(reply)
     return reply.json()
 
 
-def present(there: clients.Client, team: str) -> int:
+def current_revision(there: clients.Client, team: str) -> int:
     """Return a team's present revision, 0 for one that has no settings yet."""
     try:
         reply = there.call("GET", f"/v1/settings/{team}")
     except clients.Unreachable as exc:
-        exits.leave(exits.UNREACHABLE, str(exc))
+        exits.exit_with(exits.UNREACHABLE, str(exc))
     if reply.status == NOT_FOUND:
         return 0
     if not reply.ok:
-        refused(reply)
+        exit_refused(reply)
     return int(reply.json()["revision"])
 
 
-def make(
+def make_change(
     there: clients.Client,
     team: str,
     asked: dict[str, t.Any],
@@ -215,27 +223,27 @@
 ) -> None:
     """Make a change, asking again with its id until it is known to stand."""
     change_id = asked["change_id"] or secrets.token_hex(8)
-    base = present(there, team) if revision is None else revision
+    base = current_revision(there, team) if revision is None else revision
     body = codec.to_json({**asked, "change_id": change_id, "revision": base}).encode()
     deadline = time.monotonic() + timeout
     while True:
-        reply = attempt(there, team, body)
+        reply = send_change(there, team, body)
         if reply is not None and reply.ok:
             show_change(reply.json(), as_json)
             return
         if reply is not None and reply.status != UNAVAILABLE:
-            refused(reply)
+            exit_refused(reply)
         if time.monotonic() >= deadline:
             break
         typer.echo(f"change {change_id}: trying again", err=True)
-        time.sleep(PAUSE)
-    exits.leave(
+        time.sleep(RETRY_INTERVAL_S)
+    exits.exit_with(
         exits.UNKNOWN,
         f"unknown: ask again with --change-id {change_id} --revision {base}",
     )
 
 
-def attempt(there: clients.Client, team: str, body: bytes) -> clients.Reply | None:
+def send_change(there: clients.Client, team: str, body: bytes) -> clients.Reply | None:
     """Send a change once; None means that no whole answer came."""
     try:
         return there.call("PUT", f"/v1/settings/{team}", body)
@@ -244,7 +252,7 @@
         return None
 
 
-def refused(reply: clients.Reply) -> t.NoReturn:
+def exit_refused(reply: clients.Reply) -> t.NoReturn:
     """End the program, telling why something was refused."""
     lines = [reply.refusal()]
     body = reply.json()
@@ -253,7 +261,7 @@
     for fault in body.get("faults", []) if isinstance(body, dict) else []:
         value = repr(fault["value"])
         lines.append(f"  {fault['path']}: {value}: expected {fault['expected']}")
-    exits.leave(exits.FAILED, "\n".join(lines))
+    exits.exit_with(exits.FAILED, "\n".join(lines))
 
 
 def show_change(change: t.Any, as_json: bool) -> None:
@@ -283,6 +291,6 @@
     return f"revision {found['revision']}: {', '.join(parts)}"
 
 
-def pretty(value: t.Any) -> str:
+def indented_json(value: t.Any) -> str:
     """Return `value` as indented JSON."""
     return pydantic.TypeAdapter(t.Any).dump_json(value, indent=2).decode()
--- a/src/mangosail/cli/watch.py
+++ b/src/mangosail/cli/watch.py
@@ -12,7 +12,7 @@
 from mangosail.cli import exits, work
 
 #: Seconds to wait before a dropped watch is taken up again.
-RESUME_DELAY = 0.5
+RESUME_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     while True:
         query = urllib.parse.urlencode({"subject": subject, "after": after})
         try:
-            for line in client.lines(f"{base}?{query}"):
+            for line in client.stream_lines(f"{base}?{query}"):
                 event = read_event(line)
                 deadline = time.monotonic() + wait
                 if event.sequence is not None and event.sequence > after:
@@ -67,9 +67,11 @@
             return
         except clients.Unreachable as exc:
             if time.monotonic() >= deadline:
-                exits.leave(exits.UNREACHABLE, f"{exc}; resume with --after {after}")
+                exits.exit_with(
+                    exits.UNREACHABLE, f"{exc}; resume with --after {after}"
+                )
             typer.echo(f"{exc}; resuming after event {after}", err=True)
-            time.sleep(RESUME_DELAY)
+            time.sleep(RESUME_DELAY_S)
 
 
 def read_event(line: bytes) -> Event:
--- a/src/mangosail/cli/work.py
+++ b/src/mangosail/cli/work.py
@@ -16,11 +16,11 @@
 from mangosail.cli import exits
 
 #: Seconds between two questions how far a job has come.
-POLL_INTERVAL = 0.5
+POLL_INTERVAL_S = 0.5
 #: States of a job in which it may still change.
 OPEN_STATES = ("running", "cancelling")
 #: Seconds to wait after a broken connection before the request is sent again.
-RECONNECT_DELAY = 1.0
+RECONNECT_DELAY_S = 1.0
 
 Body = t.Annotated[
     str, typer.Argument(help="File with the JSON body; - reads standard input.")
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ending:
+class WorkOutcome:
     """What the command needs of the outcome of durable work."""
 
     request_id: str = ""
@@ -112,11 +112,11 @@
         data = sys.stdin.buffer.read() if source == "-" else _file(source)
         codec.from_json(data, object)
     except OSError as exc:
-        exits.leave(
+        exits.exit_with(
             exits.USAGE, f"BODY: {source!r}: expected a readable file: {exc.strerror}"
         )
     except codec.DecodeError as exc:
-        exits.leave(exits.USAGE, f"BODY: {source!r}: expected JSON: {exc}")
+        exits.exit_with(exits.USAGE, f"BODY: {source!r}: expected JSON: {exc}")
     return data
 
 
@@ -135,40 +135,42 @@
             reply = client.call("POST", path, body, headers)
         except clients.Unreachable as exc:
             reply = None
-            pause, why = RECONNECT_DELAY, str(exc)
+            pause, why = RECONNECT_DELAY_S, str(exc)
         if reply is not None:
             if reply.retry_after is None:
-                finish(reply, request_id)
+                print_final(reply, request_id)
                 return
-            pause, why = reply.retry_after, waiting_for(reply)
+            pause, why = reply.retry_after, pending_reason(reply)
         if time.monotonic() + pause >= deadline:
             status = exits.UNREACHABLE if reply is None else exits.UNKNOWN
-            exits.leave(status, f"{why}; ask again with --request-id {request_id}")
+            exits.exit_with(status, f"{why}; ask again with --request-id {request_id}")
         typer.echo(f"{why}; asking again in {pause:g} s", err=True)
         time.sleep(pause)
 
 
-def waiting_for(reply: clients.Reply) -> str:
+def pending_reason(reply: clients.Reply) -> str:
     """Return why there is no final answer yet."""
     return "still running" if reply.ok else reply.refusal()
 
 
-def finish(reply: clients.Reply, request_id: str) -> None:
+def print_final(reply: clients.Reply, request_id: str) -> None:
     """Print a final answer; end the program with its status."""
     if not reply.ok:
-        exits.leave(exits.FAILED, reply.refusal())
+        exits.exit_with(exits.FAILED, reply.refusal())
     typer.echo(reply.body.decode())
     try:
-        ended = codec.from_json(reply.body, Ending)
+        ended = codec.from_json(reply.body, WorkOutcome)
     except codec.DecodeError:
         return
     if ended.request_id != request_id:
         # A quote's answer may be of any shape, and is final as it is.
         return
     if ended.outcome == "unknown":
-        exits.leave(exits.UNKNOWN, "whether the work ran is not known")
+        exits.exit_with(exits.UNKNOWN, "whether the work ran is not known")
     if ended.failed or ended.outcome in ("failed", "not_run", "cancelled"):
-        exits.leave(exits.FAILED, f"the work ended: {ended.outcome}: {ended.reason}")
+        exits.exit_with(
+            exits.FAILED, f"the work ended: {ended.outcome}: {ended.reason}"
+        )
 
 
 def follow_job(client: clients.Client, body: bytes, deadline: float) -> None:
@@ -182,12 +184,12 @@
             typer.echo(line, err=True)
             shown = line
         if time.monotonic() >= deadline:
-            exits.leave(exits.UNKNOWN, "the job goes on; see: mangosail jobs")
-        time.sleep(POLL_INTERVAL)
+            exits.exit_with(exits.UNKNOWN, "the job goes on; see: mangosail jobs")
+        time.sleep(POLL_INTERVAL_S)
         progress = clients.ask(client, "GET", path)
     typer.echo(codec.to_json(progress))
     if progress["state"] != "completed":
-        exits.leave(exits.FAILED, ending_line(progress))
+        exits.exit_with(exits.FAILED, ending_line(progress))
 
 
 def progress_line(progress: dict[str, t.Any]) -> str:
@@ -209,7 +211,7 @@
     """Return the part of a path that SERVICE/OPERATION stands for."""
     service, slash, operation = target.partition("/")
     if not (service and slash and operation):
-        exits.leave(exits.USAGE, f"TARGET: {target!r}: expected SERVICE/OPERATION")
+        exits.exit_with(exits.USAGE, f"TARGET: {target!r}: expected SERVICE/OPERATION")
     return f"{quote(service)}/{quote(operation)}"
 
 
