--- a/src/mangosail/cli/client.py
+++ b/src/mangosail/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls from the command line to an instance, over HTTP."""
+"""HTTP client of the command line."""
 
 import collections.abc as cabc
 import dataclasses
@@ -14,9 +14,9 @@
 from mangosail import codec
 from mangosail.cli import exits
 
-#: Seconds until a connection that does not come about is given up.
+#: Seconds after which an attempt to connect fails.
 CONNECT_TIMEOUT_S = 5.0
-#: Seconds of silence after which an answer is taken for lost.
+#: Seconds without data after which an answer counts as lost.
 NETWORK_TIMEOUT_S = 60.0
 
 Server = t.Annotated[
@@ -24,7 +24,7 @@
     typer.Option(
         "--server",
         envvar="MANGOSAIL_SERVER",
-        help="Instance or balancer: IP number and port, or an http(s) URL.",
+        help="Instance or balancer: IP address and port, or an http(s) URL.",
     ),
 ]
 TokenFile = t.Annotated[
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer; `retry_after` is in seconds."""
+    """A complete answer; `retry_after` is in seconds."""
 
     status: int
     body: bytes
@@ -47,18 +47,18 @@
 
     @property
     def ok(self) -> bool:
-        """Tell whether the server did what it was asked."""
+        """Return whether the request succeeded."""
         return 200 <= self.status < 300
 
     def json(self) -> t.Any:
-        """Return the decoded body, or None if it is no JSON."""
+        """Return the decoded body, or None if it is not JSON."""
         try:
             return codec.from_json(self.body, object)
         except codec.DecodeError:
             return None
 
     def refusal(self) -> str:
-        """Return one line that tells why the server refused."""
+        """Return the reason for the server's refusal in one line."""
         content = self.json()
         if not isinstance(content, dict):
             return f"refused with status {self.status}"
@@ -67,11 +67,11 @@
 
 
 class Unreachable(Exception):
-    """No whole answer came; the text says from where and why."""
+    """No complete answer was received; the text names the server and the cause."""
 
 
 class Client:
-    """One server, and the token that the commands show it."""
+    """A connection to one server, authenticated with a token."""
 
     def __init__(self, server: str, token: str) -> None:
         self.server = server
@@ -84,7 +84,7 @@
         if not parts.hostname or parts.scheme not in ("http", "https") or not port:
             exits.exit_with(
                 exits.USAGE,
-                f"--server (MANGOSAIL_SERVER): {server!r}: expected an IP number and "
+                f"--server (MANGOSAIL_SERVER): {server!r}: expected an IP address and "
                 "a port, or an http(s) URL with a port",
             )
         self.host, self.port = parts.hostname, port
@@ -99,7 +99,7 @@
         body: bytes = b"",
         headers: cabc.Mapping[str, str] | None = None,
     ) -> Reply:
-        """Send one request; raise `Unreachable` unless a whole answer comes."""
+        """Send one request; raise `Unreachable` if no complete answer is received."""
         try:
             response = self.http.request(method, path, body, dict(headers or {}))
             after = response.get("retry-after")
@@ -112,7 +112,7 @@
             raise self._reset(exc) from exc
 
     def stream_lines(self, path: str) -> cabc.Iterator[bytes]:
-        """Yield the lines of a stream; raise `Unreachable` if it breaks off."""
+        """Yield the lines of a stream; raise `Unreachable` if it is interrupted."""
         try:
             response = self.http.get(path)
             if response.status_code != 200:
@@ -138,18 +138,18 @@
         )
 
     def _reset(self, exc: Exception) -> Unreachable:
-        # A closed pool refuses all later requests, so the next one gets a new
-        # pool; keeping the old one would offer connections that are dead too.
+        # The other connections of the pool may be dead as well, so it is closed. A
+        # closed pool refuses all later requests, so they need a new one.
         self.http.close()
         self.http = self._open()
         return Unreachable(f"{self.server}: {exc or type(exc).__name__}")
 
 
 def connect(server: str, token_file: pathlib.Path | None) -> Client:
-    """Return a client, with the token from its file or else the environment.
+    """Return a client with the token from `token_file` or from the environment.
 
-    No flag takes the token itself: others on the machine can read a process's
-    arguments.
+    The token cannot be given as a flag, because other users of the machine can read
+    the arguments of a process.
     """
     token = os.environ.get("MANGOSAIL_TOKEN")
     if token_file is not None:
@@ -171,7 +171,7 @@
 
 
 def ask(client: Client, method: str, path: str, body: bytes = b"") -> t.Any:
-    """Return the decoded answer, or end the program if there is none."""
+    """Return the decoded answer; exit if there is none or the server refused."""
     try:
         reply = client.call(method, path, body)
     except Unreachable as exc:
--- a/src/mangosail/cli/explain.py
+++ b/src/mangosail/cli/explain.py
@@ -1,4 +1,4 @@
-"""``mangosail explain``: the story of one job, from the logs of all instances."""
+"""``mangosail explain``: the history of one job, from the logs of all instances."""
 
 import collections.abc as cabc
 import dataclasses
@@ -11,7 +11,7 @@
 
 from mangosail.cli import exits
 
-#: Fields that every line has, or that say which job it is about.
+#: Fields that each line has, or that identify the job; they are not printed.
 COMMON_FIELDS = frozenset(
     {"time", "level", "slice", "event", "instance", "data_centre", "job", "exception"}
 )
@@ -25,14 +25,14 @@
     bool,
     typer.Option(
         "--around/--alone",
-        help="Also what instances came to believe meanwhile: leases, workers, "
+        help="Also changes that instances observed meanwhile: leases, workers, "
         "the configuration.",
     ),
 ]
 
-#: Slices whose lines tell what an instance believes, whatever the job.
+#: Slices whose lines log the state that an instance observes, regardless of jobs.
 STATE_SLICES = frozenset({"leadership", "journal", "catalog", "process", "following"})
-#: Events of other slices that do.
+#: Events of other slices that log such state.
 STATE_EVENTS = frozenset(
     {
         "worker unreachable", "worker reached", "worker lost", "worker set aside",
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """A line of a log, as it was written."""
+    """A parsed log line."""
 
     time: str
     instance: str
@@ -52,7 +52,7 @@
     fields: dict[str, t.Any]
 
     def about(self, request_id: str) -> bool:
-        """Tell whether the line is about a job or request."""
+        """Return whether the line is about a job or request."""
         for name in ("job", "task", "step", "request_id"):
             value = self.fields.get(name)
             if isinstance(value, str) and value.partition(".")[0] == request_id:
@@ -60,11 +60,11 @@
         return False
 
     def is_state_change(self) -> bool:
-        """Tell whether the line says what an instance came to believe."""
+        """Return whether the line logs a change of state that an instance observed."""
         return self.slice in STATE_SLICES or self.event in STATE_EVENTS
 
     def formatted(self, mark: str) -> str:
-        """Return the line for a person to read."""
+        """Return the line formatted for the terminal."""
         details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
@@ -76,10 +76,10 @@
 
 
 def explain(request_id: Job, files: Files = None, around: Around = False) -> None:
-    """Tell what became of a job, in order of time, from logs of any instances.
+    """Print what happened to a job, in order of time, from logs of any instances.
 
-    Lines that are not JSON are passed over, and text before a line's JSON is cut
-    off, so that output gathered by other tools can be read as it is.
+    Lines that are not JSON are skipped, and text before a line's JSON is removed,
+    so that the output of log collectors can be read unchanged.
     """
     lines = sorted(parse_lines(read_lines(files or [])), key=lambda line: line.time)
     own = [line for line in lines if line.about(request_id)]
@@ -109,7 +109,7 @@
 
 
 def parse_lines(lines: cabc.Iterable[str]) -> cabc.Iterator[Line]:
-    """Yield the lines that are an instance's."""
+    """Yield the lines that were logged by an instance."""
     for text in lines:
         start = text.find('{"time"')
         if start < 0:
@@ -117,7 +117,7 @@
         try:
             fields = msgspec.json.decode(text[start:])
         except msgspec.DecodeError:
-            # Cut off by whoever gathered it.
+            # Truncated by the log collector.
             continue
         yield Line(
             str(fields.get("time", "")),
--- a/src/mangosail/cli/flags.py
+++ b/src/mangosail/cli/flags.py
@@ -1,10 +1,10 @@
-"""Flags made from the fields of a settings class, so that none is written twice.
+"""Generates the flags of a command from the fields of a settings class.
 
 A field ``http_address`` becomes ``--http-address`` and is also read from
-``MANGOSAIL_HTTP_ADDRESS``. The settings class alone checks the values::
+``MANGOSAIL_HTTP_ADDRESS``. Only the settings class validates the values::
 
     @app.command()
-    @flags.of(process.ProcessSettings)
+    @flags.from_model(process.ProcessSettings)
     def serve(settings: process.ProcessSettings) -> None: ...
 """
 
@@ -18,19 +18,19 @@
 
 from mangosail.cli import exits
 
-#: Start of every environment variable's name.
+#: Prefix of all environment variables.
 PREFIX = "MANGOSAIL_"
 
 Model = t.TypeVar("Model", bound=pydantic.BaseModel)
 
 
 def flag_of(field: str) -> str:
-    """Return the flag of the settings field `field`."""
+    """Return the flag for the settings field `field`."""
     return "--" + field.replace("_", "-")
 
 
 def variable_of(field: str) -> str:
-    """Return the environment variable of the settings field `field`."""
+    """Return the environment variable for the settings field `field`."""
     return PREFIX + field.upper()
 
 
@@ -45,7 +45,7 @@
             command(validate(model, values))
 
         parameters = [_parameter(*item) for item in model.model_fields.items()]
-        # Typer reads both; without them it would see only ``**values``.
+        # Typer reads signature and annotations; otherwise it finds only ``**values``.
         run.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
         run.__annotations__ = {p.name: p.annotation for p in parameters}
         return run
@@ -54,7 +54,7 @@
 
 
 def validate(model: type[Model], values: cabc.Mapping[str, t.Any]) -> Model:
-    """Return the settings, or end the program naming each flag that is wrong."""
+    """Return the settings, or exit and name each invalid flag."""
     given = {name: value for name, value in values.items() if value is not None}
     try:
         return model(**given)
@@ -63,13 +63,13 @@
 
 
 def error_lines(exc: pydantic.ValidationError) -> list[str]:
-    """Return a line for each error: the flag, the value and what was expected."""
+    """Return one line for each error: flag, value and what was expected."""
     lines = []
     for error in exc.errors():
         field = str(error["loc"][0]) if error["loc"] else ""
         named = f"{flag_of(field)} ({variable_of(field)})" if field else "settings"
         message = error["msg"].removeprefix("Value error, ")
-        # A token given in place of its hash must not be printed.
+        # The value may be a token given by mistake instead of its hash.
         value = "hidden" if "token" in field else repr(error["input"])
         if error["type"] == "missing" or not field:
             lines.append(f"{named}: {message}")
@@ -79,7 +79,7 @@
 
 
 def _parameter(name: str, field: pydantic.fields.FieldInfo) -> inspect.Parameter:
-    # All but switches stay text here, so that one place checks them.
+    # All flags except switches are text here; the settings class converts them.
     kind: t.Any = bool | None if field.annotation is bool else str | None
     option = typer.Option(
         flag_of(name),
--- a/src/mangosail/cli/main.py
+++ b/src/mangosail/cli/main.py
@@ -1,11 +1,11 @@
-"""The commands of ``mangosail``, each in a module of its own."""
+"""Entry point of ``mangosail``, with its commands."""
 
 import typer
 
 import mangosail
 from mangosail.cli import explain, report, serve, settings, status, watch, work
 
-#: Gives each flag without a variable of its own one: MANGOSAIL_SUBMIT_REQUEST_ID.
+#: Environment variables for flags that name none, as MANGOSAIL_SUBMIT_REQUEST_ID.
 CONTEXT = {"auto_envvar_prefix": "MANGOSAIL"}
 
 app = typer.Typer(
--- a/src/mangosail/cli/report.py
+++ b/src/mangosail/cli/report.py
@@ -1,4 +1,4 @@
-"""``mangosail report``: where the time of all jobs went, from all instances' logs."""
+"""``mangosail report``: how long jobs took, by phase, from the logs of instances."""
 
 import collections
 import collections.abc as cabc
@@ -14,18 +14,18 @@
 from mangosail.cli import explain
 
 AsJson = t.Annotated[
-    bool, typer.Option("--json/--table", help="JSON, or a table for a person.")
+    bool, typer.Option("--json/--table", help="JSON, or a table for people.")
 ]
 
-#: Characters of each of the table's columns.
+#: Width of a column of the table in characters.
 COLUMN_WIDTH = 14
-#: Reasons that the table shows of each queue, the most frequent first.
+#: Number of reasons shown for each queue, the most frequent first.
 MAX_REASONS = 5
 
 
 @dataclasses.dataclass(slots=True)
 class JobTimeline:
-    """What the logs tell of one job; times in seconds since 1970."""
+    """The events logged for one job; times are in seconds since the epoch."""
 
     queue: str = ""
     submitted_at: float | None = None
@@ -36,19 +36,19 @@
 
 
 class Part(enum.StrEnum):
-    """A part of a job's time."""
+    """A phase of a job's life."""
 
-    #: From the first attempt to hand it in until the leader had it.
+    #: From the first attempt to submit it until the leader accepted it.
     TAKEN = "to leader"
-    #: From there to the first start that a worker confirmed.
+    #: From then until a worker confirmed the first start.
     STARTED = "to start"
-    #: From there to its end.
+    #: From then until its end.
     ENDED = "to end"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Seconds that half, and 95 of 100 jobs took at most."""
+    """The median and the 95th percentile of a phase, in seconds."""
 
     half: float
     most: float
@@ -56,24 +56,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Queue:
-    """What the logs tell of the jobs of one queue."""
+    """Figures for the jobs of one queue."""
 
     jobs: int = 0
     states: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     parts: dict[Part, Percentiles] = dataclasses.field(default_factory=dict)
-    #: Why hand-ins were not accepted, and runs lost, not begun or stopped.
+    #: Reasons why submissions were refused, and runs were lost, not started or stopped.
     reasons: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
 
 
 def report(files: explain.Files = None, as_json: AsJson = False) -> None:
-    """Tell by queue how long jobs waited for what, and why runs were lost.
+    """Print for each queue how long jobs took in each phase, and why runs were lost.
 
-    The parts of a job's time are told apart: until the leader had it, until something
-    of it ran, until its end. Times are those of the instances' own clocks.
+    The phases are: until the leader accepted the job, until its first task started,
+    and until its end. Times are those of the instances' own clocks.
     """
     lines = list(explain.parse_lines(explain.read_lines(files or [])))
     queues = summarize(lines)
@@ -97,37 +97,39 @@
 
 
 def shown(spread: Percentiles | None) -> tuple[str, str]:
-    """Return the two figures of a part for a person."""
+    """Return the percentiles of a phase as text."""
     if spread is None:
         return "-", "-"
     return f"{spread.half:.2f} s", f"{spread.most:.2f} s"
 
 
 def summarize(lines: cabc.Iterable[explain.Line]) -> dict[str, Queue]:
-    """Return what the lines tell, by queue."""
-    stories: dict[str, JobTimeline] = collections.defaultdict(JobTimeline)
+    """Return the figures of each queue, from log lines."""
+    timelines: dict[str, JobTimeline] = collections.defaultdict(JobTimeline)
     reasons: dict[str, collections.Counter[str]] = collections.defaultdict(
         collections.Counter
     )
     for line in sorted(lines, key=lambda line: line.time):
         job_id = job_of(line)
         if job_id:
-            record_line(stories[job_id], reasons[job_id], line)
+            record_line(timelines[job_id], reasons[job_id], line)
     queues: dict[str, Queue] = collections.defaultdict(Queue)
-    for job_id, story in stories.items():
-        queue = queues[story.queue]
+    for job_id, timeline in timelines.items():
+        queue = queues[timeline.queue]
         queue.jobs += 1
         queue.reasons += reasons[job_id]
-        if story.state:
-            queue.states[story.state] += 1
+        if timeline.state:
+            queue.states[timeline.state] += 1
     for name, queue in queues.items():
-        of_queue = [story for story in stories.values() if story.queue == name]
-        queue.parts = part_percentiles(of_queue)
+        in_queue = [
+            timeline for timeline in timelines.values() if timeline.queue == name
+        ]
+        queue.parts = part_percentiles(in_queue)
     return dict(queues)
 
 
 def job_of(line: explain.Line) -> str:
-    """Return the job that a line is about, or an empty text."""
+    """Return the id of the job that a line is about, or an empty string."""
     for name in ("job", "task"):
         value = line.fields.get(name)
         if isinstance(value, str):
@@ -136,41 +138,51 @@
 
 
 def record_line(
-    story: JobTimeline, reasons: collections.Counter[str], line: explain.Line
+    timeline: JobTimeline, reasons: collections.Counter[str], line: explain.Line
 ) -> None:
-    """Take in one line about a job."""
+    """Record one line about a job."""
     at = timestamp_of(line.time)
-    story.queue = str(line.fields.get("queue") or story.queue)
+    timeline.queue = str(line.fields.get("queue") or timeline.queue)
     if line.event == "handed in":
-        story.submitted_at = at if story.submitted_at is None else story.submitted_at
+        timeline.submitted_at = (
+            at if timeline.submitted_at is None else timeline.submitted_at
+        )
         outcome = str(line.fields.get("outcome"))
         if outcome not in ("accepted", "repeated"):
             reasons[f"handed in: {outcome}"] += 1
     elif line.event == "job taken":
-        story.accepted_at = at if story.accepted_at is None else story.accepted_at
+        timeline.accepted_at = (
+            at if timeline.accepted_at is None else timeline.accepted_at
+        )
     elif line.event == "started":
-        story.started_at = at if story.started_at is None else story.started_at
+        timeline.started_at = at if timeline.started_at is None else timeline.started_at
     elif line.event == "job ended":
-        story.ended_at = at
-        story.state = str(line.fields.get("state"))
+        timeline.ended_at = at
+        timeline.state = str(line.fields.get("state"))
     elif line.event in ("not started", "waiting again", "stopping", "start in doubt"):
         reasons[f"{line.event}: {line.fields.get('reason')}"] += 1
 
 
 def timestamp_of(text: str) -> float | None:
-    """Return the time of a line, or None if it has none."""
+    """Return a log line's time as seconds since the epoch, or None if invalid."""
     try:
         return datetime.datetime.fromisoformat(text).timestamp()
     except ValueError:
         return None
 
 
-def part_percentiles(stories: cabc.Sequence[JobTimeline]) -> dict[Part, Percentiles]:
-    """Return how long each part took."""
+def part_percentiles(timelines: cabc.Sequence[JobTimeline]) -> dict[Part, Percentiles]:
+    """Return the percentiles of each phase."""
     ends = {
-        Part.TAKEN: [(story.submitted_at, story.accepted_at) for story in stories],
-        Part.STARTED: [(story.accepted_at, story.started_at) for story in stories],
-        Part.ENDED: [(story.started_at, story.ended_at) for story in stories],
+        Part.TAKEN: [
+            (timeline.submitted_at, timeline.accepted_at) for timeline in timelines
+        ],
+        Part.STARTED: [
+            (timeline.accepted_at, timeline.started_at) for timeline in timelines
+        ],
+        Part.ENDED: [
+            (timeline.started_at, timeline.ended_at) for timeline in timelines
+        ],
     }
     spreads = {}
     for part, pairs in ends.items():
--- a/src/mangosail/cli/serve.py
+++ b/src/mangosail/cli/serve.py
@@ -14,13 +14,13 @@
 
 SettingsFile = t.Annotated[
     pathlib.Path | None,
-    typer.Option("--file", help="A team's settings, as JSON, to check too."),
+    typer.Option("--file", help="A JSON file of a team's settings to check too."),
 ]
 
 
 @flags.from_model(process.ProcessSettings)
 def serve(settings: process.ProcessSettings) -> None:
-    """Run one entry instance until it is told to stop (SIGTERM)."""
+    """Run one entry instance until it receives SIGTERM."""
     logs.setup(settings.instance, settings.data_centre, settings.log_level)
     try:
         instance.Instance(settings).run()
@@ -31,8 +31,8 @@
 def check(file: SettingsFile = None) -> None:
     """Check the process settings in the environment, and a team's settings file.
 
-    With --file alone in an environment without any process setting, only the
-    file is checked.
+    With --file in an environment without any process setting, only the file is
+    checked.
     """
     wrong = environment_faults(needed=file is None)
     if file is not None:
@@ -43,9 +43,9 @@
 
 
 def environment_faults(needed: bool) -> list[str]:
-    """Return a line for each fault of the process settings in the environment.
+    """Return one line for each fault of the process settings in the environment.
 
-    Unless they are `needed`, having none at all is no fault.
+    Unless they are `needed`, it is not a fault if all are missing.
     """
     try:
         process.ProcessSettings()  # type: ignore[call-arg]
@@ -63,7 +63,7 @@
 
 
 def file_faults(file: pathlib.Path) -> list[str]:
-    """Return a line for each fault of a team's settings in `file`."""
+    """Return one line for each fault of a team's settings in `file`."""
     try:
         content = codec.from_json(file.read_bytes(), object)
     except OSError as exc:
--- a/src/mangosail/cli/settings.py
+++ b/src/mangosail/cli/settings.py
@@ -1,8 +1,8 @@
-"""``mangosail settings``: read, change and follow a team's settings.
+"""``mangosail settings``: reads, changes and follows a team's settings.
 
-Exit status: 0 done; 1 refused, and certainly not made, or not in force
-everywhere in time; 2 a flag or a file is wrong; 3 no answer from the server;
-4 not known whether it was made, so the same change id is to be used again.
+Exit status: 0 success; 1 refused and not made, or not in force everywhere in time;
+2 a flag or a file is invalid; 3 no answer from the server; 4 unknown whether the
+change was made, so it has to be retried with the same change id.
 """
 
 import pathlib
@@ -20,11 +20,11 @@
 
 app = typer.Typer(no_args_is_help=True, help="Read and change a team's settings.")
 
-#: Seconds between attempts of a change, and between looks at its rollout.
+#: Seconds between attempts of a change, and between polls of its rollout.
 RETRY_INTERVAL_S = 0.5
-#: Statuses by which an answer says that asking again may help.
+#: Status of answers after which the request may be retried.
 UNAVAILABLE = 503
-#: Status for a team that is not there, or not the asker's.
+#: Status for a team that does not exist or is not the caller's.
 NOT_FOUND = 404
 
 AsJson = t.Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
@@ -34,7 +34,7 @@
 ]
 ChangeId = t.Annotated[
     str | None,
-    typer.Option("--change-id", help="Id of the change, to ask again safely."),
+    typer.Option("--change-id", help="Id of the change, for safe retries."),
 ]
 Revision = t.Annotated[
     int | None,
@@ -79,7 +79,7 @@
 @app.command()
 def restore(
     team: str,
-    content_of: t.Annotated[int, typer.Argument(help="Revision to take up again.")],
+    content_of: t.Annotated[int, typer.Argument(help="Revision to restore.")],
     server: clients.Server,
     token_file: clients.TokenFile = None,
     revision: Revision = None,
@@ -87,7 +87,7 @@
     timeout: Timeout = 30.0,
     as_json: AsJson = False,
 ) -> None:
-    """Roll forward to the content of an earlier revision; tokens stay."""
+    """Restore the content of an earlier revision as a new one; tokens stay."""
     asked = {"content_of": content_of, "change_id": change_id}
     make_change(
         clients.connect(server, token_file), team, asked, revision, timeout, as_json
@@ -103,9 +103,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Print what `set` would change, without changing it."""
-    there = clients.connect(server, token_file)
-    body = {"content": read(file), "revision": current_revision(there, team)}
-    planned = ask(there, "PUT", f"/v1/settings/{team}?dry_run=true", body)
+    client = clients.connect(server, token_file)
+    body = {"content": read(file), "revision": current_revision(client, team)}
+    planned = ask(client, "PUT", f"/v1/settings/{team}?dry_run=true", body)
     show_change(planned, as_json)
 
 
@@ -137,12 +137,12 @@
     timeout: Timeout = 30.0,
     as_json: AsJson = False,
 ) -> None:
-    """Follow the present revision until every data centre has it in force."""
-    there = clients.connect(server, token_file)
+    """Follow the current revision until it is in force in every data centre."""
+    client = clients.connect(server, token_file)
     deadline = time.monotonic() + timeout
     shown: dict[str, bool] = {}
     while True:
-        found = ask(there, "GET", f"/v1/settings/{team}/rollout")
+        found = ask(client, "GET", f"/v1/settings/{team}/rollout")
         if found["data_centres"] != shown:
             shown = found["data_centres"]
             typer.echo(codec.to_json(found) if as_json else rollout_line(found))
@@ -163,15 +163,15 @@
 
 @app.command()
 def check(file: pathlib.Path) -> None:
-    """Check the settings that FILE holds, before use."""
+    """Check the settings in FILE before use."""
     if wrong := serve.file_faults(file):
         exits.exit_with(exits.USAGE, "\n".join(wrong))
-    typer.echo(f"{file}: good")
+    typer.echo(f"{file}: valid")
 
 
 @app.command()
 def new_token(name: str, operator: bool = False) -> None:
-    """Make a token: it is printed once, its entry for the settings with it."""
+    """Generate a token and print it together with its entry for the settings."""
     token = secrets.token_urlsafe(32)
     entry = schema.Token(name=name, sha256=state.digest_of(token), operator=operator)
     typer.echo(f"token: {token}")
@@ -179,7 +179,7 @@
 
 
 def read(file: pathlib.Path) -> t.Any:
-    """Return the JSON that `file` holds, or end with what is wrong with it."""
+    """Return the JSON in `file`, or exit with the reason why it is invalid."""
     try:
         return codec.from_json(file.read_bytes(), object)
     except (OSError, codec.DecodeError) as exc:
@@ -188,11 +188,11 @@
         )
 
 
-def ask(there: clients.Client, method: str, path: str, body: t.Any = None) -> t.Any:
-    """Return the decoded answer, or end the program with the refusal."""
+def ask(client: clients.Client, method: str, path: str, body: t.Any = None) -> t.Any:
+    """Return the decoded answer, or exit with the refusal."""
     data = b"" if body is None else codec.to_json(body).encode()
     try:
-        reply = there.call(method, path, data)
+        reply = client.call(method, path, data)
     except clients.Unreachable as exc:
         exits.exit_with(exits.UNREACHABLE, str(exc))
     if not reply.ok:
@@ -200,10 +200,10 @@
     return reply.json()
 
 
-def current_revision(there: clients.Client, team: str) -> int:
-    """Return a team's present revision, 0 for one that has no settings yet."""
+def current_revision(client: clients.Client, team: str) -> int:
+    """Return a team's current revision, 0 for one that has no settings yet."""
     try:
-        reply = there.call("GET", f"/v1/settings/{team}")
+        reply = client.call("GET", f"/v1/settings/{team}")
     except clients.Unreachable as exc:
         exits.exit_with(exits.UNREACHABLE, str(exc))
     if reply.status == NOT_FOUND:
@@ -214,20 +214,20 @@
 
 
 def make_change(
-    there: clients.Client,
+    client: clients.Client,
     team: str,
     asked: dict[str, t.Any],
     revision: int | None,
     timeout: float,
     as_json: bool,
 ) -> None:
-    """Make a change, asking again with its id until it is known to stand."""
+    """Make a change, retrying with its id until the outcome is known."""
     change_id = asked["change_id"] or secrets.token_hex(8)
-    base = current_revision(there, team) if revision is None else revision
+    base = current_revision(client, team) if revision is None else revision
     body = codec.to_json({**asked, "change_id": change_id, "revision": base}).encode()
     deadline = time.monotonic() + timeout
     while True:
-        reply = send_change(there, team, body)
+        reply = send_change(client, team, body)
         if reply is not None and reply.ok:
             show_change(reply.json(), as_json)
             return
@@ -243,17 +243,17 @@
     )
 
 
-def send_change(there: clients.Client, team: str, body: bytes) -> clients.Reply | None:
-    """Send a change once; None means that no whole answer came."""
+def send_change(client: clients.Client, team: str, body: bytes) -> clients.Reply | None:
+    """Send a change once; return None if no complete answer was received."""
     try:
-        return there.call("PUT", f"/v1/settings/{team}", body)
+        return client.call("PUT", f"/v1/settings/{team}", body)
     except clients.Unreachable as exc:
         typer.echo(str(exc), err=True)
         return None
 
 
 def exit_refused(reply: clients.Reply) -> t.NoReturn:
-    """End the program, telling why something was refused."""
+    """Exit with the reasons of a refusal."""
     lines = [reply.refusal()]
     body = reply.json()
     if isinstance(body, dict) and body.get("revision") is not None:
@@ -283,10 +283,10 @@
 
 
 def rollout_line(found: t.Any) -> str:
-    """Return how far a revision has come, for people."""
+    """Return the rollout of a revision in one line."""
     parts = [
-        f"{name} {'in force' if there else 'waiting'}"
-        for name, there in sorted(found["data_centres"].items())
+        f"{name} {'in force' if in_force else 'waiting'}"
+        for name, in_force in sorted(found["data_centres"].items())
     ]
     return f"revision {found['revision']}: {', '.join(parts)}"
 
--- a/src/mangosail/cli/status.py
+++ b/src/mangosail/cli/status.py
@@ -10,20 +10,20 @@
 from mangosail.cli import client as clients
 from mangosail.cli import work
 
-#: What is withheld on a worker that says nothing of it.
+#: Default for workers without withheld resources.
 NOTHING = resources.Resources()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerStatus:
-    """A worker as its owner sees it."""
+    """A worker as its owner describes it."""
 
     name: str
     generation: int
     used: resources.Resources
     capacity: resources.Resources
     health: str
-    #: What an earlier owner may still have running there, by its lease.
+    #: Resources that an earlier owner may still use under its lease.
     withheld: resources.Resources = NOTHING
 
 
@@ -56,7 +56,7 @@
     ] = False,
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Print instances, the workers they own, queues, and ages of what they know."""
+    """Print instances, the workers they own, queues, and the age of their settings."""
     client = clients.connect(server, token_file)
     path = "/v1/instances"
     if data_centre:
@@ -74,10 +74,10 @@
     server: clients.Server,
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Make the instance at --server do its planned stop.
+    """Drain and stop the instance at --server.
 
-    Give the instance's own address: a balancer would stop any one of them. Only
-    the platform's administrator may do it, whose token is to be given.
+    Give the instance's own address: through a balancer, any instance would be
+    stopped. This requires the token of the platform's administrator.
     """
     client = clients.connect(server, token_file)
     answer = clients.ask(client, "POST", "/v1/drain")
@@ -85,7 +85,7 @@
 
 
 def table(instances: cabc.Sequence[InstanceStatus]) -> list[str]:
-    """Return the lines of the two tables that people read."""
+    """Return the lines of the tables of instances and workers."""
     lines = [
         f"{'instance':24}{'data centre':16}{'state':12}{'workers':>8}{'queued':>8}"
         f"{'running':>9}{'settings':>10}{'lease':>8}"
@@ -102,7 +102,7 @@
 
 
 def instance_line(found: InstanceStatus) -> str:
-    """Return an instance's line."""
+    """Return an instance's row."""
     head = f"{found.instance:24}{found.data_centre:16}{state_of(found):12}"
     if not found.reachable:
         return head.rstrip()
@@ -123,7 +123,7 @@
 
 
 def worker_line(found: InstanceStatus, owned: WorkerStatus) -> str:
-    """Return a worker's line."""
+    """Return a worker's row."""
     slots = f"{owned.used.slots}/{owned.capacity.slots}"
     cpus = f"{owned.used.cpus:.1f}/{owned.capacity.cpus:.1f}"
     return (
@@ -133,7 +133,7 @@
 
 
 def withheld_text(withheld: resources.Resources) -> str:
-    """Return what earlier owners may still use of a worker."""
+    """Return the resources withheld for earlier owners as text."""
     if withheld == NOTHING:
         return "-"
     return (
--- a/src/mangosail/cli/watch.py
+++ b/src/mangosail/cli/watch.py
@@ -1,4 +1,4 @@
-"""``mangosail watch``: the events of a subject, over dropped connections too."""
+"""``mangosail watch``: the events of a subject, resumed after lost connections."""
 
 import dataclasses
 import time
@@ -11,16 +11,16 @@
 from mangosail.cli import client as clients
 from mangosail.cli import exits, work
 
-#: Seconds to wait before a dropped watch is taken up again.
+#: Seconds to wait before an interrupted watch is resumed.
 RESUME_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """What the command needs of a line of the stream.
+    """The fields of a line of the stream that the command uses.
 
-    An event has a `sequence` number. A line with `resume_after` instead says
-    that the watch goes on elsewhere; an empty line, that it is alive.
+    An event has a `sequence` number. A line with `resume_after` says that the watch
+    has to be resumed on another connection. An empty line is a keep-alive.
     """
 
     sequence: int | None = None
@@ -38,15 +38,15 @@
         float,
         typer.Option(
             envvar="MANGOSAIL_WAIT",
-            help="Seconds without a connection after which to give up.",
+            help="Seconds without a connection after which to exit.",
         ),
     ] = 300.0,
     token_file: clients.TokenFile = None,
 ) -> None:
     """Print a subject's events as lines of JSON, until the watch ends.
 
-    A dropped connection is taken up again past the last event, so that none is
-    missed or printed twice.
+    After a lost connection the watch is resumed after the last event, so that none
+    is missed or printed twice.
     """
     client = clients.connect(server, token_file)
     base = f"/v1/watches/{work.target_path(target)}"
@@ -61,8 +61,8 @@
                     typer.echo(line.decode())
                     after = event.sequence
                 if event.resume_after is not None:
-                    # An instance that stops ends the stream in good order;
-                    # taken for the end, the watcher would miss what follows.
+                    # An instance that stops closes the stream cleanly. This is not
+                    # the end of the watch: more events may follow elsewhere.
                     raise clients.Unreachable(f"{server}: the watch was ended early")
             return
         except clients.Unreachable as exc:
@@ -75,12 +75,12 @@
 
 
 def read_event(line: bytes) -> Event:
-    """Return the event that `line` holds.
+    """Decode an event.
 
-    A connection cut inside a line leaves half an event, which counts as a broken
-    connection: the resumed watch prints it whole.
+    A connection lost within a line leaves a truncated event, which is treated as a
+    lost connection: the resumed watch receives the event again.
     """
     try:
         return codec.from_json(line or b"{}", Event)
     except codec.DecodeError as exc:
-        raise clients.Unreachable(f"half an event: {line[:80]!r}") from exc
+        raise clients.Unreachable(f"truncated event: {line[:80]!r}") from exc
--- a/src/mangosail/cli/work.py
+++ b/src/mangosail/cli/work.py
@@ -1,4 +1,4 @@
-"""``submit``, ``cancel`` and ``jobs``: work, from the command line."""
+"""``submit``, ``cancel`` and ``jobs``: manage work from the command line."""
 
 import collections.abc as cabc
 import dataclasses
@@ -15,11 +15,11 @@
 from mangosail.cli import client as clients
 from mangosail.cli import exits
 
-#: Seconds between two questions how far a job has come.
+#: Seconds between polls of a job's progress.
 POLL_INTERVAL_S = 0.5
-#: States of a job in which it may still change.
+#: States of a job that has not ended.
 OPEN_STATES = ("running", "cancelling")
-#: Seconds to wait after a broken connection before the request is sent again.
+#: Seconds to wait after a lost connection before the request is sent again.
 RECONNECT_DELAY_S = 1.0
 
 Body = t.Annotated[
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkOutcome:
-    """What the command needs of the outcome of durable work."""
+    """The fields of the outcome of durable work that the command uses."""
 
     request_id: str = ""
     outcome: str = ""
@@ -47,15 +47,15 @@
     ],
     body: Body = "-",
     request_id: t.Annotated[
-        str | None, typer.Option(help="Id of the request; drawn if left out.")
+        str | None, typer.Option(help="Id of the request; random if left out.")
     ] = None,
     wait: Wait = 300.0,
     token_file: clients.TokenFile = None,
 ) -> None:
     """Submit a request or a job, wait for its end and print the answer.
 
-    A request whose answer is lost is sent again under the same id, under which
-    durable work runs at most once.
+    If the answer to a request is lost, the request is sent again under the same id,
+    so that durable work runs at most once.
     """
     client = clients.connect(server, token_file)
     deadline = time.monotonic() + wait
@@ -74,7 +74,7 @@
     request_id: t.Annotated[str, typer.Argument(help="Id of the request.")],
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Cancel durable work, and print what became of it."""
+    """Cancel durable work and print its outcome."""
     client = clients.connect(server, token_file)
     answer = clients.ask(client, "DELETE", f"/v1/work/{quote(request_id)}")
     typer.echo(codec.to_json(answer))
@@ -87,7 +87,7 @@
     ] = None,
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Print how far the team's jobs have come, one line of JSON for each."""
+    """Print the progress of the team's jobs, one line of JSON for each."""
     client = clients.connect(server, token_file)
     if job_id:
         job = clients.ask(client, "GET", f"/v1/jobs/{quote(job_id)}")
@@ -98,7 +98,7 @@
 
 
 def all_jobs(client: clients.Client) -> cabc.Iterator[dict[str, t.Any]]:
-    """Yield the team's jobs by id, asking for one page after the other."""
+    """Yield the team's jobs in order of id, fetched page by page."""
     after: str | None = ""
     while after is not None:
         page = clients.ask(client, "GET", f"/v1/jobs?after={quote(after)}")
@@ -127,7 +127,7 @@
     request_id: str,
     deadline: float,
 ) -> None:
-    """Send a request until it has a final answer, and print that."""
+    """Send a request until it has a final answer, and print the answer."""
     while True:
         left = max(deadline - time.monotonic(), 0.0)
         headers = {"Request-Id": request_id, "Request-Timeout": f"{min(left, 30):g}"}
@@ -149,12 +149,12 @@
 
 
 def pending_reason(reply: clients.Reply) -> str:
-    """Return why there is no final answer yet."""
+    """Return the reason why there is no final answer yet."""
     return "still running" if reply.ok else reply.refusal()
 
 
 def print_final(reply: clients.Reply, request_id: str) -> None:
-    """Print a final answer; end the program with its status."""
+    """Print a final answer, and exit with an error status if the work failed."""
     if not reply.ok:
         exits.exit_with(exits.FAILED, reply.refusal())
     typer.echo(reply.body.decode())
@@ -163,10 +163,10 @@
     except codec.DecodeError:
         return
     if ended.request_id != request_id:
-        # A quote's answer may be of any shape, and is final as it is.
+        # The answer of a quote, which may have any form and is always final.
         return
     if ended.outcome == "unknown":
-        exits.exit_with(exits.UNKNOWN, "whether the work ran is not known")
+        exits.exit_with(exits.UNKNOWN, "it is unknown whether the work ran")
     if ended.failed or ended.outcome in ("failed", "not_run", "cancelled"):
         exits.exit_with(
             exits.FAILED, f"the work ended: {ended.outcome}: {ended.reason}"
@@ -174,7 +174,7 @@
 
 
 def follow_job(client: clients.Client, body: bytes, deadline: float) -> None:
-    """Submit a job and show its progress until it has ended, in whatever state."""
+    """Submit a job and show its progress until it ends in any state."""
     progress = clients.ask(client, "POST", "/v1/jobs", body)
     path = f"/v1/jobs/{quote(progress['job_id'])}"
     shown = ""
@@ -184,7 +184,9 @@
             typer.echo(line, err=True)
             shown = line
         if time.monotonic() >= deadline:
-            exits.exit_with(exits.UNKNOWN, "the job goes on; see: mangosail jobs")
+            exits.exit_with(
+                exits.UNKNOWN, "the job is still running; see: mangosail jobs"
+            )
         time.sleep(POLL_INTERVAL_S)
         progress = clients.ask(client, "GET", path)
     typer.echo(codec.to_json(progress))
@@ -193,7 +195,7 @@
 
 
 def progress_line(progress: dict[str, t.Any]) -> str:
-    """Return one line that tells how far a job has come."""
+    """Return a job's progress in one line."""
     return (
         f"{progress['job_id']}: {progress['completed']}/{progress['tasks']} completed, "
         f"{progress['running']} running, {progress['waiting']} waiting, "
@@ -202,13 +204,13 @@
 
 
 def ending_line(progress: dict[str, t.Any]) -> str:
-    """Return one line that tells how a job ended that did not complete."""
+    """Return in one line how a job ended that did not complete."""
     line = f"the job ended: {progress['state']}: {progress['failed']} tasks failed"
     return f"{line}: {progress['reason']}" if progress["reason"] else line
 
 
 def target_path(target: str) -> str:
-    """Return the part of a path that SERVICE/OPERATION stands for."""
+    """Return the path segments for SERVICE/OPERATION."""
     service, slash, operation = target.partition("/")
     if not (service and slash and operation):
         exits.exit_with(exits.USAGE, f"TARGET: {target!r}: expected SERVICE/OPERATION")
@@ -216,7 +218,7 @@
 
 
 def quote(part: str) -> str:
-    """Return `part` as one part of a path."""
+    """Quote `part` for use as one segment of a path."""
     return urllib.parse.quote(part, safe="")
 
 
--- a/tests/cli/cli.feature
+++ b/tests/cli/cli.feature
@@ -1,12 +1,12 @@
 Feature: The command line
-  Operators and developers drive an instance from a shell. A program that calls
-  mangosail learns from the exit status what became of its work.
+  Operators and developers use an instance from a shell. Programs that call mangosail
+  get the outcome of their work from the exit status.
 
-  Scenario Outline: A wrong process setting is named with what was expected
+  Scenario Outline: An invalid process setting is named with what was expected
     Given the variable "<variable>" is "<value>"
     When "serve <arguments>" is run
     Then it ends with status 2
-    And it complains of "<named>"
+    And the error output contains "<named>"
 
     Examples:
       | variable              | value | arguments                 | named                                                                                     |
@@ -24,7 +24,7 @@
     Then it ends with status 0
     When "check --file -" is run with the file '{"qota": {"cpus": 1}}'
     Then it ends with status 2
-    And it complains of "qota"
+    And the error output contains "qota"
 
   Scenario: The status shows instances and workers, for people and for programs
     When "status" is run
@@ -36,82 +36,82 @@
     Then the JSON lists only "taraz-0" with worker "taraz-w1" "taking" work
 
   Scenario: A peer that does not answer is shown as unreachable
-    The peer's process is frozen, so its connections stay open and silent. The
-    operator still gets the rest within seconds, and sees which one is missing.
+    The peer's process is frozen, so its connections stay open but idle. The operator
+    still gets the other instances within seconds, and sees which one is missing.
     Given the instance "taraz-0" is frozen
     When "status" is run
     Then it ends with status 0
     And it prints "taraz-0" and "unreachable"
 
-  Scenario: A release is submitted, and asked for again under its id
+  Scenario: A release is submitted, and a repeated id with another body is refused
     When "submit fuel/release --request-id c-1" is run with the input '{"tail": "A"}'
     Then it ends with status 0
     And it prints "completed" and "c-1"
     When "submit fuel/release --request-id c-1" is run with the input '{"tail": "B"}'
     Then it ends with status 1
-    And it complains of "body_conflict"
+    And the error output contains "body_conflict"
 
-  Scenario: A release whose answer is lost is asked for again, and runs once
-    The connection is cut after the release was sent and before its answer
-    arrives. The command sends it again under the same id, which returns the
-    outcome of the first one instead of starting a second.
+  Scenario: A release whose answer is lost is sent again, and runs once
+    The connection is cut after the release was sent and before its answer arrives.
+    The command must send it again under the same id, which returns the outcome of
+    the first request instead of starting a second run.
     Given the connection is cut after 10 bytes of the answer
     When "submit fuel/release --request-id c-2" is run with the input '{"tail": "A"}'
     Then it ends with status 0
-    And it complains of "asking again"
+    And the error output contains "asking again"
     And the workers' logs show one start of "c-2"
 
   Scenario: A watch resumes after a dropped connection at the last event
-    The connection is cut in the middle of an event. The command prints no half
-    event, connects again past the last whole one, and each event comes once.
+    The connection is cut in the middle of an event. The command must not print the
+    truncated event; it resumes after the last complete one and prints each once.
     Given the connection is cut after 250 bytes of the answer
     When "watch fuel/tail-watch C-1:4" is run
     Then it ends with status 0
-    And it complains of "resuming after event"
+    And the error output contains "resuming after event"
     And it prints the events 1 to 4, each once
 
   Scenario: A job shows its progress
     When "submit job" is run with the input '{"job_id": "c-j", "kind": "k", "tasks": 3, "needs": {"cpus": 1, "slots": 1}, "body": {"work_seconds": 0.2}}'
     Then it ends with status 0
-    And it complains of "/3 completed"
+    And the error output contains "/3 completed"
     When "jobs c-j" is run
     Then it prints ""completed":3" and "c-j"
 
-  Scenario: All jobs are listed, also those past the first page
+  Scenario: All jobs are listed, also those after the first page
     Given 60 jobs were submitted
     When "jobs" is run
     Then it ends with status 0
     And it prints ""c-p00"" and ""c-p59""
 
-  Scenario: A job that is cancelled ends the command that follows it
+  Scenario: The submit command ends when its job is cancelled
     The tasks of a cancelled job are neither completed nor failed. A command that
-    adds up these two waits for a sum that never comes, until its time is over.
+    waits until these two counts add up to all tasks would wait until its time-out.
     Given the job "c-k" will be cancelled when it runs
     When "submit job --wait 30" is run with the input '{"job_id": "c-k", "kind": "k", "tasks": 3, "needs": {"cpus": 1, "slots": 1}, "body": {"work_seconds": 50}}'
     Then it ends with status 1
-    And it complains of "the job ended: cancelled"
+    And the error output contains "the job ended: cancelled"
 
-  Scenario: The status tells what is withheld for an earlier owner of a worker
-    Then the line of a worker with 2 slots and 3 cores withheld tells so
+  Scenario: The status shows what is withheld for an earlier owner of a worker
+    Then the row of a worker with 2 slots and 3 cores withheld shows them
 
-  Scenario: Work is cancelled under its id, and never runs from then on
+  Scenario: Work is cancelled under its id, and never runs afterwards
     When "cancel c-9" is run
     Then it ends with status 0
     And it prints "cancelled" and "c-9"
     When "submit fuel/release --request-id c-9" is run with the input '{"tail": "A"}'
     Then it ends with status 1
-    And it complains of "not_run: cancelled"
+    And the error output contains "not_run: cancelled"
 
-  Scenario: Work that fails on its worker is told apart from work that completes
+  Scenario: Work that fails on its worker is reported as failed
     When "submit fuel/release --request-id c-7" is run with the input '{"fail": true}'
     Then it ends with status 1
-    And it complains of "the work ended"
+    And the error output contains "the work ended"
 
-  Scenario Outline: The exit status tells what went wrong
+  Scenario Outline: The exit status shows the kind of error
     Given the token is "<token>"
     When "<arguments>" is run
     Then it ends with status <status>
-    And it complains of "<named>"
+    And the error output contains "<named>"
 
     Examples:
       | token           | arguments                        | status | named                |
--- a/tests/cli/environment.py
+++ b/tests/cli/environment.py
@@ -1,4 +1,4 @@
-"""Two data centres of one instance each, for all scenarios of the command line."""
+"""Starts two data centres of one instance each for all scenarios."""
 
 from tests.support import stage, teams
 
--- a/tests/cli/steps/cli_steps.py
+++ b/tests/cli/steps/cli_steps.py
@@ -14,7 +14,7 @@
 
 
 def run(context, arguments, text="", command=None):
-    """Run the command line against the first instance, as a process."""
+    """Run the command line as a process against the first instance."""
     variables = {
         "PYTHONPATH": f"{stage.ROOT}/src",
         "MANGOSAIL_SERVER": context.stage.instances["shymkent-0"],
@@ -22,7 +22,7 @@
     }
     if context.token:
         variables["MANGOSAIL_TOKEN"] = context.token
-    kept = {k: v for k, v in os.environ.items() if not k.startswith("MANGOSAIL_")}
+    inherited = {k: v for k, v in os.environ.items() if not k.startswith("MANGOSAIL_")}
     context.done = subprocess.run(
         command or [sys.executable, "-m", "mangosail", *shlex.split(arguments)],
         input=text,
@@ -30,7 +30,7 @@
         capture_output=True,
         timeout=60,
         cwd=stage.ROOT,
-        env={**kept, **variables, **context.variables},
+        env={**inherited, **variables, **context.variables},
     )
 
 
@@ -113,7 +113,8 @@
 
 @when('"{arguments}" is run from bash')
 def run_from_bash(context, arguments):
-    # The program finds the shell among its ancestors; `true` keeps bash there.
+    # The program looks for a shell among its parent processes. Without the `true`,
+    # bash would replace itself with the program.
     line = f"{sys.executable} -m mangosail {arguments}; true"
     run(context, "", command=["bash", "-c", line])
 
@@ -133,8 +134,8 @@
     assert context.done.returncode == status, context.done
 
 
-@then('it complains of "{text}"')
-def complains(context, text):
+@then('the error output contains "{text}"')
+def error_contains(context, text):
     assert text in context.done.stderr, context.done
 
 
@@ -171,7 +172,7 @@
     assert numbers == list(range(first, last + 1)), context.done
 
 
-@then("the line of a worker with {slots:d} slots and {cpus:d} cores withheld tells so")
+@then("the row of a worker with {slots:d} slots and {cpus:d} cores withheld shows them")
 def withheld_told(context, slots, cpus):
     capacity = resources.Resources(cpus=32, slots=8)
     withheld = resources.Resources(cpus=cpus, slots=slots)
