--- a/src/mangosail/cli/settings.py
+++ b/src/mangosail/cli/settings.py
@@ -38,7 +38,7 @@
 ]
 Revision = t.Annotated[
     int | None,
-    typer.Option("--revision", help="Revision the change is based on; else present."),
+    typer.Option("--revision", help="Revision the change is based on; else current."),
 ]
 
 
@@ -69,7 +69,7 @@
     timeout: Timeout = 30.0,
     as_json: AsJson = False,
 ) -> None:
-    """Change a team's settings to what FILE holds."""
+    """Replace a team's settings with the content of FILE."""
     asked = {"content": read(file), "change_id": change_id}
     make_change(
         clients.connect(server, token_file), team, asked, revision, timeout, as_json
@@ -257,7 +257,7 @@
     lines = [reply.refusal()]
     body = reply.json()
     if isinstance(body, dict) and body.get("revision") is not None:
-        lines.append(f"  present revision {body['revision']} by {body.get('author')}")
+        lines.append(f"  current revision {body['revision']} by {body.get('author')}")
     for fault in body.get("faults", []) if isinstance(body, dict) else []:
         value = repr(fault["value"])
         lines.append(f"  {fault['path']}: {value}: expected {fault['expected']}")
--- a/src/mangosail/settings/process.py
+++ b/src/mangosail/settings/process.py
@@ -48,16 +48,17 @@
     )
 
     instance: Name = pydantic.Field(description="Name of this instance.")
-    data_centre: Name = pydantic.Field(description="Data centre it stands in.")
+    data_centre: Name = pydantic.Field(description="Data centre of this instance.")
     http_address: Address = pydantic.Field(
-        description="Where callers and operators are served."
+        description="Address on which callers and operators are served."
     )
-    peer_address: Address = pydantic.Field(description="Where peers are served.")
-    platform_address: Address = pydantic.Field(
-        description="Where the platform listens."
+    peer_address: Address = pydantic.Field(
+        description="Address on which peers are served."
     )
+    platform_address: Address = pydantic.Field(description="Address of the platform.")
     statsd_address: Address | None = pydantic.Field(
-        None, description="Where metrics are sent; none are if left out."
+        None,
+        description="Address of the statsd server; no metrics are sent if left out.",
     )
     tls_certificate: str | None = pydantic.Field(
         None,
@@ -67,30 +68,36 @@
         None, description="The certificate's key: a file or, in the variable, PEM text."
     )
     tls_authority: str | None = pydantic.Field(
-        None, description="Authority that peers' certificates are from: file or text."
+        None,
+        description="Authority that signs peers' certificates: a file or PEM text.",
     )
     plaintext: bool = pydantic.Field(
         False, description="Serve callers and peers without TLS."
     )
     log_level: LogLevel = pydantic.Field(
-        "INFO", description="Least level of the log lines that are written."
+        "INFO", description="Lowest level of log lines that are written."
     )
     drain_seconds: float = pydantic.Field(
         30.0,
         ge=0,
         le=3600,
-        description="Longest time that a planned stop waits for requests in flight.",
+        description="Longest time in seconds that a planned stop waits for requests.",
     )
     abort_on_broken_invariant: bool = pydantic.Field(
         False, description="End the process on a broken invariant."
     )
     commit_window: float = pydantic.Field(
-        0.01, ge=0, le=1, description="Seconds that a write waits for others."
+        0.01,
+        ge=0,
+        le=1,
+        description="Seconds that a write waits to be grouped with others.",
     )
     admin_token_sha256: Digest | None = pydantic.Field(
         None, description="SHA-256 of the administrator's token, in hexadecimal."
     )
-    seed: int = pydantic.Field(0, description="Seed of random choices; 0 draws one.")
+    seed: int = pydantic.Field(
+        0, description="Seed of random choices; 0 for a random one."
+    )
     control: Control = pydantic.Field(
         Control.ON, description="Whether batch tasks are throttled for quotes."
     )
