--- a/src/mangosail/cli/explain.py
+++ b/src/mangosail/cli/explain.py
@@ -1,4 +1,4 @@
-"""``mangosail explain``: the story of one job, from the logs of all instances."""
+"""``mangosail explain``: the history of one job, from the logs of all instances."""
 
 import collections.abc as cabc
 import dataclasses
@@ -11,8 +11,8 @@
 
 from mangosail.cli import exits
 
-#: Fields that every line has, or that say which job it is about.
-COMMON = frozenset(
+#: Fields that each line has, or that identify the job; they are not printed.
+COMMON_FIELDS = frozenset(
     {"time", "level", "slice", "event", "instance", "data_centre", "job", "exception"}
 )
 
@@ -25,15 +25,15 @@
     bool,
     typer.Option(
         "--around/--alone",
-        help="Also what instances came to believe meanwhile: leases, workers, "
+        help="Also changes that instances observed meanwhile: leases, workers, "
         "the configuration.",
     ),
 ]
 
-#: Slices whose lines tell what an instance believes, whatever the job.
-BELIEFS = frozenset({"leadership", "journal", "catalog", "process", "following"})
-#: Events of other slices that do.
-BELIEF_EVENTS = frozenset(
+#: Slices whose lines log the state that an instance observes, regardless of jobs.
+STATE_SLICES = frozenset({"leadership", "journal", "catalog", "process", "following"})
+#: Events of other slices that log such state.
+STATE_EVENTS = frozenset(
     {
         "worker unreachable", "worker reached", "worker lost", "worker set aside",
         "worker unlisted", "worker drains", "took over", "no longer leading", "state",
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """A line of a log, as it was written."""
+    """A parsed log line."""
 
     time: str
     instance: str
@@ -52,23 +52,23 @@
     fields: dict[str, t.Any]
 
     def about(self, request_id: str) -> bool:
-        """Tell whether the line is about a job or request."""
+        """Return whether the line is about a job or request."""
         for name in ("job", "task", "step", "request_id"):
             value = self.fields.get(name)
             if isinstance(value, str) and value.partition(".")[0] == request_id:
                 return True
         return False
 
-    def belief(self) -> bool:
-        """Tell whether the line says what an instance came to believe."""
-        return self.slice in BELIEFS or self.event in BELIEF_EVENTS
+    def is_state_change(self) -> bool:
+        """Return whether the line logs a change of state that an instance observed."""
+        return self.slice in STATE_SLICES or self.event in STATE_EVENTS
 
-    def shown(self, mark: str) -> str:
-        """Return the line for a person to read."""
+    def formatted(self, mark: str) -> str:
+        """Return the line formatted for the terminal."""
         details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in COMMON
+            if name not in COMMON_FIELDS
         )
         return (
             f"{self.time[11:23]} {mark} {self.instance:<16} {self.event:<16} {details}"
@@ -76,24 +76,24 @@
 
 
 def explain(request_id: Job, files: Files = None, around: Around = False) -> None:
-    """Tell what became of a job, in order of time, from logs of any instances.
+    """Print what happened to a job, in order of time, from logs of any instances.
 
-    Lines that are not JSON are passed over, and text before a line's JSON is cut
-    off, so that output gathered by other tools can be read as it is.
+    Lines that are not JSON are skipped, and text before a line's JSON is removed,
+    so that the output of log collectors can be read unchanged.
     """
-    lines = sorted(parsed(texts(files or [])), key=lambda line: line.time)
+    lines = sorted(parse_lines(read_lines(files or [])), key=lambda line: line.time)
     own = [line for line in lines if line.about(request_id)]
     if not own:
-        exits.leave(exits.USAGE, f"{request_id}: no line of the logs is about it")
+        exits.exit_with(exits.USAGE, f"{request_id}: no line of the logs is about it")
     first, last = own[0].time, own[-1].time
     for line in lines:
         if line.about(request_id):
-            typer.echo(line.shown("*"))
-        elif around and first <= line.time <= last and line.belief():
-            typer.echo(line.shown(" "))
+            typer.echo(line.formatted("*"))
+        elif around and first <= line.time <= last and line.is_state_change():
+            typer.echo(line.formatted(" "))
 
 
-def texts(files: cabc.Sequence[pathlib.Path]) -> cabc.Iterator[str]:
+def read_lines(files: cabc.Sequence[pathlib.Path]) -> cabc.Iterator[str]:
     """Yield the lines of the files, or of standard input."""
     if not files:
         yield from sys.stdin
@@ -103,13 +103,13 @@
             with path.open(errors="replace") as file:
                 yield from file
         except OSError as exc:
-            exits.leave(
+            exits.exit_with(
                 exits.USAGE, f"{path}: expected a readable file: {exc.strerror}"
             )
 
 
-def parsed(lines: cabc.Iterable[str]) -> cabc.Iterator[Line]:
-    """Yield the lines that are an instance's."""
+def parse_lines(lines: cabc.Iterable[str]) -> cabc.Iterator[Line]:
+    """Yield the lines that were logged by an instance."""
     for text in lines:
         start = text.find('{"time"')
         if start < 0:
@@ -117,7 +117,7 @@
         try:
             fields = msgspec.json.decode(text[start:])
         except msgspec.DecodeError:
-            # Cut off by whoever gathered it.
+            # Truncated by the log collector.
             continue
         yield Line(
             str(fields.get("time", "")),
--- a/src/mangosail/cli/serve.py
+++ b/src/mangosail/cli/serve.py
@@ -14,38 +14,38 @@
 
 SettingsFile = t.Annotated[
     pathlib.Path | None,
-    typer.Option("--file", help="A team's settings, as JSON, to check too."),
+    typer.Option("--file", help="A JSON file of a team's settings to check too."),
 ]
 
 
-@flags.of(process.ProcessSettings)
+@flags.from_model(process.ProcessSettings)
 def serve(settings: process.ProcessSettings) -> None:
-    """Run one entry instance until it is told to stop (SIGTERM)."""
+    """Run one entry instance until it receives SIGTERM."""
     logs.setup(settings.instance, settings.data_centre, settings.log_level)
     try:
         instance.Instance(settings).run()
     except errors.ConfigurationError as exc:
-        exits.leave(exits.USAGE, str(exc))
+        exits.exit_with(exits.USAGE, str(exc))
 
 
 def check(file: SettingsFile = None) -> None:
     """Check the process settings in the environment, and a team's settings file.
 
-    With --file alone in an environment without any process setting, only the
-    file is checked.
+    With --file in an environment without any process setting, only the file is
+    checked.
     """
-    wrong = wrong_in_environment(needed=file is None)
+    wrong = environment_faults(needed=file is None)
     if file is not None:
-        wrong += wrong_in_file(file)
+        wrong += file_faults(file)
     if wrong:
-        exits.leave(exits.USAGE, "\n".join(wrong))
+        exits.exit_with(exits.USAGE, "\n".join(wrong))
     typer.echo("settings are in order")
 
 
-def wrong_in_environment(needed: bool) -> list[str]:
-    """Return a line for each fault of the process settings in the environment.
+def environment_faults(needed: bool) -> list[str]:
+    """Return one line for each fault of the process settings in the environment.
 
-    Unless they are `needed`, having none at all is no fault.
+    Unless they are `needed`, it is not a fault if all are missing.
     """
     try:
         process.ProcessSettings()  # type: ignore[call-arg]
@@ -58,12 +58,12 @@
         }
         if missing == required and not needed:
             return []
-        return flags.complaints(exc)
+        return flags.error_lines(exc)
     return []
 
 
-def wrong_in_file(file: pathlib.Path) -> list[str]:
-    """Return a line for each fault of a team's settings in `file`."""
+def file_faults(file: pathlib.Path) -> list[str]:
+    """Return one line for each fault of a team's settings in `file`."""
     try:
         content = codec.from_json(file.read_bytes(), object)
     except OSError as exc:
--- a/src/mangosail/cli/work.py
+++ b/src/mangosail/cli/work.py
@@ -1,4 +1,4 @@
-"""``submit``, ``cancel`` and ``jobs``: work, from the command line."""
+"""``submit``, ``cancel`` and ``jobs``: manage work from the command line."""
 
 import collections.abc as cabc
 import dataclasses
@@ -15,12 +15,12 @@
 from mangosail.cli import client as clients
 from mangosail.cli import exits
 
-#: Seconds between two questions how far a job has come.
-POLL_INTERVAL = 0.5
-#: States of a job in which it may still change.
+#: Seconds between polls of a job's progress.
+POLL_INTERVAL_S = 0.5
+#: States of a job that has not ended.
 OPEN_STATES = ("running", "cancelling")
-#: Seconds to wait after a broken connection before the request is sent again.
-RECONNECT_DELAY = 1.0
+#: Seconds to wait after a lost connection before the request is sent again.
+RECONNECT_DELAY_S = 1.0
 
 Body = t.Annotated[
     str, typer.Argument(help="File with the JSON body; - reads standard input.")
@@ -31,8 +31,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ending:
-    """What the command needs of the outcome of durable work."""
+class WorkOutcome:
+    """The fields of the outcome of durable work that the command uses."""
 
     request_id: str = ""
     outcome: str = ""
@@ -47,15 +47,15 @@
     ],
     body: Body = "-",
     request_id: t.Annotated[
-        str | None, typer.Option(help="Id of the request; drawn if left out.")
+        str | None, typer.Option(help="Id of the request; random if left out.")
     ] = None,
     wait: Wait = 300.0,
     token_file: clients.TokenFile = None,
 ) -> None:
     """Submit a request or a job, wait for its end and print the answer.
 
-    A request whose answer is lost is sent again under the same id, under which
-    durable work runs at most once.
+    If the answer to a request is lost, the request is sent again under the same id,
+    so that durable work runs at most once.
     """
     client = clients.connect(server, token_file)
     deadline = time.monotonic() + wait
@@ -74,7 +74,7 @@
     request_id: t.Annotated[str, typer.Argument(help="Id of the request.")],
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Cancel durable work, and print what became of it."""
+    """Cancel durable work and print its outcome."""
     client = clients.connect(server, token_file)
     answer = clients.ask(client, "DELETE", f"/v1/work/{quote(request_id)}")
     typer.echo(codec.to_json(answer))
@@ -87,7 +87,7 @@
     ] = None,
     token_file: clients.TokenFile = None,
 ) -> None:
-    """Print how far the team's jobs have come, one line of JSON for each."""
+    """Print the progress of the team's jobs, one line of JSON for each."""
     client = clients.connect(server, token_file)
     if job_id:
         job = clients.ask(client, "GET", f"/v1/jobs/{quote(job_id)}")
@@ -98,7 +98,7 @@
 
 
 def all_jobs(client: clients.Client) -> cabc.Iterator[dict[str, t.Any]]:
-    """Yield the team's jobs by id, asking for one page after the other."""
+    """Yield the team's jobs in order of id, fetched page by page."""
     after: str | None = ""
     while after is not None:
         page = clients.ask(client, "GET", f"/v1/jobs?after={quote(after)}")
@@ -112,11 +112,11 @@
         data = sys.stdin.buffer.read() if source == "-" else _file(source)
         codec.from_json(data, object)
     except OSError as exc:
-        exits.leave(
+        exits.exit_with(
             exits.USAGE, f"BODY: {source!r}: expected a readable file: {exc.strerror}"
         )
     except codec.DecodeError as exc:
-        exits.leave(exits.USAGE, f"BODY: {source!r}: expected JSON: {exc}")
+        exits.exit_with(exits.USAGE, f"BODY: {source!r}: expected JSON: {exc}")
     return data
 
 
@@ -127,7 +127,7 @@
     request_id: str,
     deadline: float,
 ) -> None:
-    """Send a request until it has a final answer, and print that."""
+    """Send a request until it has a final answer, and print the answer."""
     while True:
         left = max(deadline - time.monotonic(), 0.0)
         headers = {"Request-Id": request_id, "Request-Timeout": f"{min(left, 30):g}"}
@@ -135,44 +135,46 @@
             reply = client.call("POST", path, body, headers)
         except clients.Unreachable as exc:
             reply = None
-            pause, why = RECONNECT_DELAY, str(exc)
+            pause, why = RECONNECT_DELAY_S, str(exc)
         if reply is not None:
             if reply.retry_after is None:
-                finish(reply, request_id)
+                print_final(reply, request_id)
                 return
-            pause, why = reply.retry_after, waiting_for(reply)
+            pause, why = reply.retry_after, pending_reason(reply)
         if time.monotonic() + pause >= deadline:
             status = exits.UNREACHABLE if reply is None else exits.UNKNOWN
-            exits.leave(status, f"{why}; ask again with --request-id {request_id}")
+            exits.exit_with(status, f"{why}; ask again with --request-id {request_id}")
         typer.echo(f"{why}; asking again in {pause:g} s", err=True)
         time.sleep(pause)
 
 
-def waiting_for(reply: clients.Reply) -> str:
-    """Return why there is no final answer yet."""
+def pending_reason(reply: clients.Reply) -> str:
+    """Return the reason why there is no final answer yet."""
     return "still running" if reply.ok else reply.refusal()
 
 
-def finish(reply: clients.Reply, request_id: str) -> None:
-    """Print a final answer; end the program with its status."""
+def print_final(reply: clients.Reply, request_id: str) -> None:
+    """Print a final answer, and exit with an error status if the work failed."""
     if not reply.ok:
-        exits.leave(exits.FAILED, reply.refusal())
+        exits.exit_with(exits.FAILED, reply.refusal())
     typer.echo(reply.body.decode())
     try:
-        ended = codec.from_json(reply.body, Ending)
+        ended = codec.from_json(reply.body, WorkOutcome)
     except codec.DecodeError:
         return
     if ended.request_id != request_id:
-        # A quote's answer may be of any shape, and is final as it is.
+        # The answer of a quote, which may have any form and is always final.
         return
     if ended.outcome == "unknown":
-        exits.leave(exits.UNKNOWN, "whether the work ran is not known")
+        exits.exit_with(exits.UNKNOWN, "it is unknown whether the work ran")
     if ended.failed or ended.outcome in ("failed", "not_run", "cancelled"):
-        exits.leave(exits.FAILED, f"the work ended: {ended.outcome}: {ended.reason}")
+        exits.exit_with(
+            exits.FAILED, f"the work ended: {ended.outcome}: {ended.reason}"
+        )
 
 
 def follow_job(client: clients.Client, body: bytes, deadline: float) -> None:
-    """Submit a job and show its progress until it has ended, in whatever state."""
+    """Submit a job and show its progress until it ends in any state."""
     progress = clients.ask(client, "POST", "/v1/jobs", body)
     path = f"/v1/jobs/{quote(progress['job_id'])}"
     shown = ""
@@ -182,16 +184,18 @@
             typer.echo(line, err=True)
             shown = line
         if time.monotonic() >= deadline:
-            exits.leave(exits.UNKNOWN, "the job goes on; see: mangosail jobs")
-        time.sleep(POLL_INTERVAL)
+            exits.exit_with(
+                exits.UNKNOWN, "the job is still running; see: mangosail jobs"
+            )
+        time.sleep(POLL_INTERVAL_S)
         progress = clients.ask(client, "GET", path)
     typer.echo(codec.to_json(progress))
     if progress["state"] != "completed":
-        exits.leave(exits.FAILED, ending_line(progress))
+        exits.exit_with(exits.FAILED, ending_line(progress))
 
 
 def progress_line(progress: dict[str, t.Any]) -> str:
-    """Return one line that tells how far a job has come."""
+    """Return a job's progress in one line."""
     return (
         f"{progress['job_id']}: {progress['completed']}/{progress['tasks']} completed, "
         f"{progress['running']} running, {progress['waiting']} waiting, "
@@ -200,21 +204,21 @@
 
 
 def ending_line(progress: dict[str, t.Any]) -> str:
-    """Return one line that tells how a job ended that did not complete."""
+    """Return in one line how a job ended that did not complete."""
     line = f"the job ended: {progress['state']}: {progress['failed']} tasks failed"
     return f"{line}: {progress['reason']}" if progress["reason"] else line
 
 
 def target_path(target: str) -> str:
-    """Return the part of a path that SERVICE/OPERATION stands for."""
+    """Return the path segments for SERVICE/OPERATION."""
     service, slash, operation = target.partition("/")
     if not (service and slash and operation):
-        exits.leave(exits.USAGE, f"TARGET: {target!r}: expected SERVICE/OPERATION")
+        exits.exit_with(exits.USAGE, f"TARGET: {target!r}: expected SERVICE/OPERATION")
     return f"{quote(service)}/{quote(operation)}"
 
 
 def quote(part: str) -> str:
-    """Return `part` as one part of a path."""
+    """Quote `part` for use as one segment of a path."""
     return urllib.parse.quote(part, safe="")
 
 
--- a/tests/settings/steps/settings_steps.py
+++ b/tests/settings/steps/settings_steps.py
@@ -23,7 +23,7 @@
     return answer
 
 
-def present(context, instance="shymkent-0"):
+def read_settings(context, instance="shymkent-0"):
     return ask(context, instance).json()
 
 
@@ -33,15 +33,15 @@
 
 
 def revision_in_force(context, instance):
-    """Return the revision in the memory of an instance: the table is not asked."""
+    """Return the revision in force on an instance, without a read of the table."""
     answer = context.stage.call(instance, "GET", "/v1/settings", headers=DESK)
-    # An instance that has no settings yet knows no token.
+    # Without settings an instance knows no token and answers 401.
     return answer.json()["teams"]["fuel-desk"] if answer.status == 200 else None
 
 
 @when('the desk sets its quota to {cores:d} cores at "{instance}"')
 def set_cores(context, cores, instance):
-    now = present(context, "shymkent-1")
+    now = read_settings(context, "shymkent-1")
     content = {**now["content"], "quota": {"cpus": cores}}
     context.asked = (content, f"quota-{cores}", now["revision"])
     context.answer = put(context, instance, *context.asked)
@@ -69,7 +69,7 @@
     )
 
 
-@then('"{name}" says that "{data_centres}" have the change in force')
+@then('"{name}" reports that "{data_centres}" have the change in force')
 def rollout(context, name, data_centres):
     expected = dict.fromkeys(data_centres.split(", "), True)
     stage.wait_until(
@@ -84,16 +84,16 @@
 
 @then('"{name}" shows {cores:d} cores at once, read from the table')
 def at_once(context, name, cores):
-    shown = present(context, name)
+    shown = read_settings(context, name)
     assert shown["content"]["quota"] == {"cpus": cores}, shown
     assert shown["read_from"] == "table"
 
 
-@when("two operators change the present revision at once, {count:d} times")
+@when("two operators change the current revision concurrently, {count:d} times")
 def race(context, count):
     context.races = []
     for number in range(count):
-        now = present(context)
+        now = read_settings(context)
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
             tried = [
                 pool.submit(
@@ -106,14 +106,14 @@
         context.races.append((now["revision"], [f.result() for f in tried]))
 
 
-@then("each time one is accepted and the other told who was first")
+@then("each time one is accepted and the other is told the author of the first")
 def one_won(context):
     for revision, answers in context.races:
         first, second = sorted(answers, key=lambda answer: answer.status)
         assert (first.status, second.status) == (200, 409), answers
-        told = second.json()
-        assert told["title"] == "superseded" and told["outcome"] == "not_made", told
-        assert (told["revision"], told["author"]) == (revision + 1, OPERATOR), told
+        reply = second.json()
+        assert reply["title"] == "superseded" and reply["outcome"] == "not_made", reply
+        assert (reply["revision"], reply["author"]) == (revision + 1, OPERATOR), reply
 
 
 @given("the table loses every answer to a write")
@@ -121,7 +121,7 @@
     context.stage.faults(lose_answers=1.0)
 
 
-@given("it goes down once it has made the next change")
+@given("it goes down once it has committed the next change")
 def down_after_change(context):
     log = f"/log?since={last_version(context)}"
 
@@ -144,15 +144,15 @@
     return log[-1]["version"]
 
 
-@then('the answer is {status:d} "{title}" with the change id and when to come back')
+@then('the answer is {status:d} "{title}" with the change id and when to retry')
 def is_undecided(context, status, title):
-    told = context.answer.json()
-    assert (context.answer.status, told["title"]) == (status, title), told
-    assert told["outcome"] == "unknown" and told["change_id"] == context.asked[1]
+    reply = context.answer.json()
+    assert (context.answer.status, reply["title"]) == (status, title), reply
+    assert reply["outcome"] == "unknown" and reply["change_id"] == context.asked[1]
     assert float(context.answer.headers["retry-after"]) > 0
 
 
-@when('the table is well and the same change is asked for at "{name}"')
+@when('the table is up and the same change is requested at "{name}"')
 def ask_same(context, name):
     context.stage.faults(table="up", lose_answers=0.0)
     context.answer = put(context, name, *context.asked)
@@ -170,7 +170,7 @@
     assert context.answer.json()["title"] == title
 
 
-@then("the history holds it once")
+@then("the history contains it once")
 def history_once(context):
     context.stage.faults(lose_answers=0.0)
     found = ask(context, "taraz-0", path=PATH + "/history").json()["revisions"]
@@ -180,7 +180,7 @@
 
 @when("the desk sets settings with three faults")
 def three_faults(context):
-    context.before = present(context)
+    context.before = read_settings(context)
     content = {
         "quota": {"cpus": -1},
         "weights": ["tail"],
@@ -207,12 +207,12 @@
 
 @then("nothing has changed")
 def unchanged(context):
-    assert present(context) == context.before
+    assert read_settings(context) == context.before
 
 
 @when("the desk tries a quota of {cores:d} cores without a release operation")
 def dry_run(context, cores):
-    context.before = now = present(context)
+    context.before = now = read_settings(context)
     services = json.loads(json.dumps(now["content"]["services"]))
     del services["fuel"]["release"]
     content = {**now["content"], "services": services, "quota": {"cpus": cores}}
@@ -220,22 +220,22 @@
     context.answer = ask(context, "taraz-0", "PUT", PATH + "?dry_run=true", body)
 
 
-@then("it is told both differences and what becomes of running releases")
+@then("it is shown both differences and a warning about running releases")
 def told_differences(context):
-    told = context.answer.json()
-    assert {d["path"]: d["new"] for d in told["changed"]} == {
+    reply = context.answer.json()
+    assert {d["path"]: d["new"] for d in reply["changed"]} == {
         "quota.cpus": 110,
         "services.fuel.release.mode": None,
         "services.fuel.release.needs.cpus": None,
         "services.fuel.release.needs.memory_gb": None,
         "services.fuel.release.deadline_seconds": None,
-    }, told
-    assert told["warnings"][0].startswith("services.fuel.release: removed"), told
+    }, reply
+    assert reply["warnings"][0].startswith("services.fuel.release: removed"), reply
 
 
-@when("the desk rotates its caller's token and then rolls back before it")
+@when("the desk rotates its caller's token and restores the revision before")
 def rotate(context):
-    context.before = now = present(context)
+    context.before = now = read_settings(context)
     assert ask(context, "taraz-0", path="/v1/status",
                headers=teams.bearer("old-caller")).status == 200  # fmt: skip
     tokens = [
@@ -255,7 +255,7 @@
 @then("the earlier content is in force as a new revision")
 def rolled(context):
     assert context.answer.status == 200, context.answer
-    now = present(context, "taraz-0")
+    now = read_settings(context, "taraz-0")
     assert now["revision"] == context.before["revision"] + 2
     assert now["content"]["quota"] == context.before["content"]["quota"]
 
@@ -292,9 +292,9 @@
     }
 
 
-@then("each gets only what is theirs")
+@then("each gets only what it is authorized for")
 def only_theirs(context):
-    # An allowed change is one that gets as far as the check of its revision.
+    # An authorized change is refused only by the check of its revision (409).
     assert context.statuses == {
         "operator": [200, 200, 200, 409, 404],
         "caller": [403, 403, 403, 403, 404],
@@ -305,7 +305,7 @@
     }, context.statuses
 
 
-@then("no token or hash stands in any answer or log")
+@then("no answer or log contains a token or a hash")
 def no_secrets(context):
     logs = [path.read_bytes() for path in context.stage.logs.glob("*.log")]
     assert any(b"in force" in log for log in logs)
@@ -360,9 +360,9 @@
     context.stage.faults(cut=[name])
 
 
-@then('"{name}" refuses changes with "{title}" and shows its memory')
+@then('"{name}" refuses changes with "{title}" and answers from memory')
 def refuses(context, name, title):
-    shown = present(context, name)
+    shown = read_settings(context, name)
     assert shown["read_from"] == "memory"
     assert shown["revision"] == context.answer.json()["revision"]
     refused = put(context, name, {}, "cut", shown["revision"])
@@ -370,7 +370,7 @@
     assert refused.json()["outcome"] == "unknown"
 
 
-@then('"{name}" reports stale settings until it is joined again')
+@then('"{name}" reports stale settings until it is reconnected')
 def reports_stale(context, name):
     def settings():
         return ask(context, name, path="/v1/status").json()["settings"]
@@ -396,7 +396,7 @@
     context.stage.faults(table="up")
 
 
-@when("the table is put back to before the last change")
+@when("the table is restored to the state before the last change")
 def put_back(context):
     def rows():
         found = stage.call(context.stage.platform, "GET", "/rows?prefix=settings/")
@@ -409,14 +409,14 @@
     stage.call(context.stage.platform, "POST", "/rows", backup)
 
 
-@then("the change is never out of force, and the table holds it again")
+@then("the change stays in force, and the table contains it again")
 def holds_again(context):
     revision = context.answer.json()["revision"]
 
     def held():
         for name in context.stage.instances:
             assert revision_in_force(context, name) >= revision, name
-        now = present(context)
+        now = read_settings(context)
         return now["content"]["quota"] == {"cpus": 140}
 
     stage.wait_until(held, 30, "written back")
@@ -436,7 +436,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-@when("an operator works through the command line")
+@when("an operator runs each settings command")
 def use_cli(context):
     folder = pathlib.Path(tempfile.mkdtemp(prefix="mangosail-"))
     file, bad = str(folder / "desk.json"), str(folder / "bad.json")
@@ -479,12 +479,12 @@
     }, runs  # fmt: skip
     assert "quota.cpus: 140 -> 150" in runs["diff"][1], runs["diff"]
     assert "quota.cpus: 140 -> 150" in runs["history"][1], runs["history"]
-    assert "present revision" in runs["stale"][2]
+    assert "current revision" in runs["stale"][2]
     assert "shymkent in force, taraz in force" in runs["watch"][1]
     assert "quota.cpus: 0: expected greater than 0" in runs["bad"][2]
     assert "quota.cpus: 0: expected greater than 0" in runs["check"][2]
     assert "--server (MANGOSAIL_SERVER): 'nowhere': expected" in runs["server"][2]
     assert "--change-id lost" in runs["unknown"][2]
     committed = (stage.ROOT / "docs" / "settings.schema.json").read_text()
-    assert runs["schema"][1] == committed, "write docs/settings.schema.json anew"
+    assert runs["schema"][1] == committed, "docs/settings.schema.json is out of date"
     assert [run[0] for run in runs["examples"]] == [0, 0], runs["examples"]
