--- a/src/mangosail/ownership/messages.py
+++ b/src/mangosail/ownership/messages.py
@@ -47,7 +47,7 @@
     #: Earlier owners that have not released the worker and may still be running.
     retained: tuple[Retention, ...] = ()
 
-    def retained_budgets(self) -> dict[int, resources.Resources]:
+    def promised(self) -> dict[int, resources.Resources]:
         """Return the budget retained by each earlier owner, by generation."""
         return {held.generation: held.budget for held in self.retained}
 
--- a/src/mangosail/ownership/owners.py
+++ b/src/mangosail/ownership/owners.py
@@ -244,7 +244,7 @@
                 continue
             left = self._still_retained(known.row)
             if left == known.row.retained:
-                owned.ledger.promised = known.row.retained_budgets()
+                owned.ledger.promised = known.row.promised()
                 continue
             snapshot = self.connector.fetch_snapshot(owned.worker)
             if snapshot is None:
@@ -255,7 +255,7 @@
             owned.ledger.follow(takeover.running_reports(snapshot), owned.generation)
             row = dataclasses.replace(known.row, retained=left)
             if isinstance(self._write(row, known), result.Ok):
-                owned.ledger.promised = row.retained_budgets()
+                owned.ledger.promised = row.promised()
                 self.counters.count("ownership.retention_ended")
 
     def _still_retained(self, row: messages.OwnerRow) -> tuple[messages.Retention, ...]:
@@ -375,7 +375,7 @@
 
     def _adopt(self, worker: inventory.Worker, row: messages.OwnerRow) -> None:
         owned = self.connector.connect(worker, row.generation)
-        owned.ledger.promised = row.retained_budgets()
+        owned.ledger.promised = row.promised()
         self.owned_workers.add(owned)
         self.counters.count("ownership.taken")
         log.info("worker taken", worker=worker.name, generation=row.generation)
--- a/src/mangosail/ownership/takeover.py
+++ b/src/mangosail/ownership/takeover.py
@@ -37,7 +37,7 @@
     because the worker did not answer, the bound assumes that there is no durable work.
     """
     durable = [r.needs for r in reports or () if not r.idempotent]
-    promised = sum(previous.retained_budgets().values(), resources.Resources())
+    promised = sum(previous.promised().values(), resources.Resources())
     budget = ledger.kept_after_expiry(
         capacity - promised, sum(durable, resources.Resources())
     )
--- a/src/mangosail/settings/changes.py
+++ b/src/mangosail/settings/changes.py
@@ -268,9 +268,7 @@
         """Return a fault for each token whose hash belongs to another team."""
         known = self.in_force.identity_by_digest
         return tuple(
-            errors.Fault(
-                f"tokens.{n}.sha256", checks.HIDDEN, "a token that no other team uses"
-            )
+            errors.Fault(f"tokens.{n}.sha256", checks.HIDDEN, "a token of this team")
             for n, token in enumerate(settings.tokens)
             if token.sha256 in known and known[token.sha256].team != team
         )
--- a/tests/ownership/shares_machine.py
+++ b/tests/ownership/shares_machine.py
@@ -34,9 +34,9 @@
 class OwnersOfOneWorker(stateful.RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.running = {}  # task id -> report: the actual load of the worker
+        self.running = {}  # task id -> report: the worker's own truth
         self.fenced = 0
-        self.in_transit = []  # reports of durable starts that have not arrived yet
+        self.in_transit = []  # (holder, report) of durable starts on their way
         self.released = set()
         self.count = 0
         self.holders = [Holder(1)]
@@ -123,7 +123,7 @@
         self.row = messages.OwnerRow(
             "w", holder.name, holder.name, holder.generation, retained
         )
-        holder.ledger.promised = self.row.retained_budgets()
+        holder.ledger.promised = self.row.promised()
         self.fenced = holder.generation
         holder.ledger.rebuild(self.running.values(), holder.generation)
         self.holders.append(holder)
@@ -145,7 +145,7 @@
             "w", self.owner.name, self.owner.name, self.owner.generation, retained
         )
         self.owner.ledger.follow(self.running.values(), self.owner.generation)
-        self.owner.ledger.promised = self.row.retained_budgets()
+        self.owner.ledger.promised = self.row.promised()
 
     def still_retained(self):
         return tuple(r for r in self.row.retained if r.instance not in self.released)
--- a/tests/settings/machine.py
+++ b/tests/settings/machine.py
@@ -33,7 +33,7 @@
 
 
 class Settings(stateful.RuleBasedStateMachine):
-    """Three instances, concurrent changes, lost answers and late writes."""
+    """Three instances; operators race, answers get lost, writes come late."""
 
     def __init__(self):
         super().__init__()
