--- a/src/mangosail/platform/advisor.py
+++ b/src/mangosail/platform/advisor.py
@@ -8,7 +8,7 @@
 from mangosail.scheduler import advice
 
 #: Seconds after which a call is given up; calls of one instance wait for each other.
-TIMEOUT = 3.0
+TIMEOUT_S = 3.0
 #: Connections at a time; the service takes one call of an instance after the other.
 CONNECTIONS = 2
 
@@ -25,16 +25,16 @@
         self, step: str, workers: list[str]
     ) -> result.Result[advice.Tickets, advice.AdviceUnavailable]:
         """Return tickets for those of the workers that may run the step."""
-        body = codec.to_json(wire.Advise(step, workers)).encode()
+        body = codec.to_json(wire.AdviceRequest(step, workers)).encode()
         headers = {"Content-Type": "application/json"}
-        answer = self.caller.call("POST", "/-/advise", body, headers, TIMEOUT)
+        answer = self.caller.call("POST", "/-/advise", body, headers, TIMEOUT_S)
         if isinstance(answer, result.Err):
             return result.Err(advice.AdviceUnavailable(answer.err_value.reason))
         reply = answer.ok_value
         if reply.status != OK:
             return result.Err(advice.AdviceUnavailable(f"status {reply.status}"))
         try:
-            found = codec.from_json(reply.body, wire.Advised)
+            found = codec.from_json(reply.body, wire.AdviceAnswer)
         except codec.DecodeError as exc:
             return result.Err(advice.AdviceUnavailable(str(exc)))
         tickets = {name: ticket for name, ticket in found.good}
--- a/src/mangosail/platform/batching.py
+++ b/src/mangosail/platform/batching.py
@@ -24,21 +24,21 @@
 log = logbook.Logger("platform")
 
 #: Seconds for which the first transaction of a group waits for others.
-WINDOW = 0.01
+WINDOW_S = 0.01
 #: Most transactions in a group; keeps one commit small.
-LARGEST_GROUP = 64
+MAX_GROUP_SIZE = 64
 #: Most transactions that wait; more are refused as `store_busy`.
-LONGEST_QUEUE = 512
+MAX_QUEUE_LENGTH = 512
 
 #: Seconds that a transaction waits at most until it is sent.
-LONGEST_WAIT = 2.0
+MAX_WAIT_S = 2.0
 
 #: Why a transaction was refused before it was sent.
 STORE_BUSY = "store_busy"
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class QueuedTransaction:
     """A transaction in the queue, and where its result goes."""
 
     transaction: table.Transaction
@@ -59,15 +59,15 @@
         self,
         rows: table.Table,
         counters: telemetry.Counters,
-        window: float = WINDOW,
-        longest_queue: int = LONGEST_QUEUE,
+        window: float = WINDOW_S,
+        longest_queue: int = MAX_QUEUE_LENGTH,
     ) -> None:
         self.rows = rows
         self.counters = counters
         self.window = window
         self.longest_queue = longest_queue
-        self.queue: list[Waiting] = []
-        self.filled = gevent.event.Event()
+        self.queue: list[QueuedTransaction] = []
+        self.not_empty = gevent.event.Event()
 
     def read(
         self, keys: t.Sequence[str]
@@ -86,17 +86,17 @@
     ) -> result.Result[int, errors.CommitError]:
         """Apply `transaction` in the next group and return its version."""
         if len(self.queue) >= self.longest_queue:
-            return self._busy()
-        deadline = time.monotonic() + LONGEST_WAIT
-        waiting = Waiting(transaction, gevent.event.AsyncResult(), deadline)
+            return self._refuse_busy()
+        deadline = time.monotonic() + MAX_WAIT_S
+        waiting = QueuedTransaction(transaction, gevent.event.AsyncResult(), deadline)
         self.queue.append(waiting)
-        self.filled.set()
+        self.not_empty.set()
         return waiting.answer.get()
 
     def run(self) -> t.NoReturn:
         """Commit group after group."""
         while True:
-            self.filled.wait()
+            self.not_empty.wait()
             gevent.sleep(self.window)
             try:
                 self.commit_group()
@@ -107,10 +107,10 @@
 
     def commit_group(self) -> None:
         """Commit the transactions that wait, or as many as one group holds."""
-        self._refuse_late()
-        group = self._take()
+        self._refuse_expired()
+        group = self._next_group()
         if not self.queue:
-            self.filled.clear()
+            self.not_empty.clear()
         if not group:
             return
         try:
@@ -123,26 +123,26 @@
                 if not waiting.answer.ready():
                     waiting.answer.set(lost)
 
-    def _busy(self) -> result.Result[int, errors.CommitError]:
+    def _refuse_busy(self) -> result.Result[int, errors.CommitError]:
         self.counters.count("platform.refused.store_busy")
         return result.Err(errors.Unavailable(STORE_BUSY))
 
-    def _refuse_late(self) -> None:
+    def _refuse_expired(self) -> None:
         """Refuse what has waited too long; it was not sent, so it has no effect."""
         now = time.monotonic()
         for waiting in self.queue:
             if waiting.deadline <= now:
-                waiting.answer.set(self._busy())
+                waiting.answer.set(self._refuse_busy())
         self.queue = [w for w in self.queue if w.deadline > now]
 
-    def _take(self) -> list[Waiting]:
+    def _next_group(self) -> list[QueuedTransaction]:
         """Take transactions off the queue, no two of which share a key."""
-        group: list[Waiting] = []
+        group: list[QueuedTransaction] = []
         touched: set[str] = set()
-        kept: list[Waiting] = []
+        kept: list[QueuedTransaction] = []
         for waiting in self.queue:
             keys = waiting.keys()
-            if len(group) < LARGEST_GROUP and not keys & touched:
+            if len(group) < MAX_GROUP_SIZE and not keys & touched:
                 group.append(waiting)
             else:
                 kept.append(waiting)
@@ -151,10 +151,10 @@
         self.queue = kept
         return group
 
-    def _commit(self, group: list[Waiting]) -> None:
+    def _commit(self, group: list[QueuedTransaction]) -> None:
         """Commit `group`; a conflict fails its culprit alone, the rest goes on."""
         while group:
-            committed = self.rows.commit(merged(group))
+            committed = self.rows.commit(merge(group))
             self.counters.count("platform.group_commits")
             self.counters.count("platform.grouped_transactions", len(group))
             culprits = group
@@ -169,7 +169,7 @@
             group = [w for w in group if w not in culprits]
 
 
-def merged(group: t.Sequence[Waiting]) -> table.Transaction:
+def merge(group: t.Sequence[QueuedTransaction]) -> table.Transaction:
     """Return one transaction with all that `group` checks and writes."""
     return table.Transaction(
         tuple(check for w in group for check in w.transaction.checks),
--- a/src/mangosail/platform/caller.py
+++ b/src/mangosail/platform/caller.py
@@ -17,20 +17,20 @@
 from mangosail.platform import errors
 
 #: Seconds after which a call is given up unless it says otherwise.
-CALL_TIMEOUT = 1.0
+CALL_TIMEOUT_S = 1.0
 #: Seconds in which a connection must be made: several times the way between data
 #: centres, and one retransmission of a lost opening packet.
-CONNECT_TIMEOUT = 1.2
+CONNECT_TIMEOUT_S = 1.2
 #: Seconds that a connection may live at most between two bytes; beyond all limits.
-NETWORK_TIMEOUT = 40.0
+NETWORK_TIMEOUT_S = 40.0
 #: Bytes of an answer that are read at a time.
-PIECE = 4096
+CHUNK_BYTES = 4096
 #: Seconds within which the next piece of an answer must come: as long as the store may
 #: take to begin one.
-PIECE_TIMEOUT = 1.3
+CHUNK_TIMEOUT_S = 1.3
 #: Seconds after which an answer is given up although it goes on arriving: twenty times
 #: what the largest answer of the store, 1 MB, takes on the narrowest link.
-ANSWER_TIMEOUT = 40.0
+ANSWER_TIMEOUT_S = 40.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 #: Called for each piece of a successful answer.
-Heard = cabc.Callable[[], None]
+OnData = cabc.Callable[[], None]
 
 OK = 200
 
@@ -72,10 +72,10 @@
         path: str,
         body: bytes = b"",
         headers: cabc.Mapping[str, str] | None = None,
-        timeout: float = CALL_TIMEOUT,
-        longest: float = ANSWER_TIMEOUT,
-        heard: Heard | None = None,
-        most: int | None = None,
+        timeout: float = CALL_TIMEOUT_S,
+        total_timeout: float = ANSWER_TIMEOUT_S,
+        on_data: OnData | None = None,
+        max_bytes: int | None = None,
     ) -> result.Result[Reply, CallError]:
         """Send one request; an Err means that no whole answer came.
 
@@ -86,41 +86,41 @@
         client = self.client
         content = bytearray()
         try:
-            with gevent.Timeout(longest):
+            with gevent.Timeout(total_timeout):
                 with gevent.Timeout(timeout):
                     response = client.request(method, path, body=body, headers=headers)
                     length = response.content_length or 0
-                    if most is not None and length > most:
-                        self._replace(client)
+                    if max_bytes is not None and length > max_bytes:
+                        self._replace_client(client)
                         return result.Err(errors.TooLong(f"{length} bytes"))
                     etag = str(response.get("ETag") or "")
-                    content += response.read(PIECE)
-                if response.status_code != OK or heard is None:
-                    heard = ignore
-                heard()
-                receive(response, content, min(timeout, PIECE_TIMEOUT), heard)
+                    content += response.read(CHUNK_BYTES)
+                if response.status_code != OK or on_data is None:
+                    on_data = ignore_data
+                on_data()
+                receive_rest(response, content, min(timeout, CHUNK_TIMEOUT_S), on_data)
             return result.Ok(Reply(response.status_code, bytes(content), etag))
         except ConnectionRefusedError as exc:
-            self._replace(client)
+            self._replace_client(client)
             return result.Err(errors.Unavailable(str(exc)))
         except gevent.GreenletExit:
             # Given up by its sender: what comes on the connection is not for others.
-            self._replace(client)
+            self._replace_client(client)
             raise
         except (OSError, http_response.HTTPParseError, gevent.Timeout) as exc:
-            self._replace(client)
-            return result.Err(errors.Uncertain(reason_of(exc, len(content))))
+            self._replace_client(client)
+            return result.Err(errors.Uncertain(error_reason(exc, len(content))))
 
-    def narrow(self, concurrency: int) -> None:
+    def limit_connections(self, concurrency: int) -> None:
         """Hold no more than `concurrency` connections from now on.
 
         Those that are open end with the calls that are on them.
         """
         if concurrency < self.concurrency:
             self.concurrency = concurrency
-            self._replace(self.client)
+            self._replace_client(self.client)
 
-    def _replace(self, client: geventhttpclient.HTTPClient) -> None:
+    def _replace_client(self, client: geventhttpclient.HTTPClient) -> None:
         """Leave the connections of `client` to the calls that are on them.
 
         One answer that never came says that its other connections may have
@@ -136,22 +136,22 @@
             host,
             port=int(port),
             concurrency=self.concurrency,
-            connection_timeout=CONNECT_TIMEOUT,
-            network_timeout=NETWORK_TIMEOUT,
+            connection_timeout=CONNECT_TIMEOUT_S,
+            network_timeout=NETWORK_TIMEOUT_S,
             headers=self.headers,
         )
         return client
 
 
-def ignore() -> None:
+def ignore_data() -> None:
     """Take no notice of a piece."""
 
 
-def receive(
+def receive_rest(
     response: http_response.HTTPSocketResponse,
     content: bytearray,
     timeout: float,
-    heard: Heard,
+    on_data: OnData,
 ) -> None:
     """Add the rest of an answer to `content`, each piece within `timeout` seconds.
 
@@ -161,13 +161,13 @@
     """
     while not response.message_complete:
         with gevent.Timeout(timeout):
-            content += response.read(PIECE)
-        heard()
+            content += response.read(CHUNK_BYTES)
+        on_data()
     # What was received with the last piece; nothing is waited for.
     content += response.read()
 
 
-def reason_of(exc: BaseException, received: int) -> str:
+def error_reason(exc: BaseException, received: int) -> str:
     """Return why a call has no answer, and how many bytes of one had come.
 
     A slow link and a silent peer look alike without that number.
@@ -183,27 +183,29 @@
     1,002 workers ran out of descriptors, and orders failed at random.
     """
 
-    def __init__(self, concurrency: int, most: int, budget: int | None = None) -> None:
+    def __init__(
+        self, concurrency: int, max_callers: int, budget: int | None = None
+    ) -> None:
         self.concurrency = concurrency
-        self.most = most
+        self.max_callers = max_callers
         self.budget = budget
-        self.kept: collections.OrderedDict[str, Caller] = collections.OrderedDict()
+        self.callers: collections.OrderedDict[str, Caller] = collections.OrderedDict()
 
     def get(self, name: str, address: str) -> Caller:
         """Return the caller called `name`, made for `address` when first asked for."""
-        kept = self.kept.get(name)
+        kept = self.callers.get(name)
         if kept is None:
-            kept = self.kept[name] = Caller(address, self.concurrency)
-            if len(self.kept) > self.most:
-                self.kept.popitem(last=False)
+            kept = self.callers[name] = Caller(address, self.concurrency)
+            if len(self.callers) > self.max_callers:
+                self.callers.popitem(last=False)
         # In the order of making, a worker that is called all the time went first: with
         # more workers than are kept each call opened a connection.
-        self.kept.move_to_end(name)
-        kept.narrow(self.share())
+        self.callers.move_to_end(name)
+        kept.limit_connections(self.connections_per_caller())
         return kept
 
-    def share(self) -> int:
+    def connections_per_caller(self) -> int:
         """Return how many connections each caller may have now."""
-        if self.budget is None or not self.kept:
+        if self.budget is None or not self.callers:
             return self.concurrency
-        return max(min(self.concurrency, self.budget // len(self.kept)), 1)
+        return max(min(self.concurrency, self.budget // len(self.callers)), 1)
--- a/src/mangosail/platform/decoding.py
+++ b/src/mangosail/platform/decoding.py
@@ -8,15 +8,15 @@
 from mangosail.scheduler import messages, sizes
 
 #: Bytes of a job's text at most.
-MOST_SPEC_BYTES = 4000
+MAX_SPEC_BYTES = 4000
 #: Tasks of one job at most, over all its occurrences; a bound on memory, far above
 #: what callers hand in.
-MOST_TASKS = 5000
+MAX_TASKS = 5000
 #: Digits of a job's id.
 ID_DIGITS = 16
 
 
-def job_of(
+def decode_job(
     body: bytes, job_id: str, queue: messages.Queue, wall: float
 ) -> result.Result[messages.Job, errors.Invalid]:
     """Return the job that a caller hands in, or what is wrong with it."""
@@ -28,7 +28,7 @@
         found = codec.from_json(body, wire.JobBody)
     except codec.DecodeError as exc:
         return result.Err(errors.Invalid(str(exc)))
-    fault = fault_in(found)
+    fault = find_fault(found)
     if fault:
         return result.Err(errors.Invalid(fault))
     job = messages.Job(
@@ -36,7 +36,7 @@
         queue=queue.name,
         service=queue.service,
         spec=found.spec,
-        steps=tuple(step_of(step) for step in found.steps),
+        steps=tuple(to_step(step) for step in found.steps),
         accepted_at=wall,
         priority=queue.priority,
         attempts=queue.attempts,
@@ -48,25 +48,25 @@
     return result.Err(errors.Invalid(fault)) if fault else result.Ok(job)
 
 
-def fault_in(body: wire.JobBody) -> str:
+def find_fault(body: wire.JobBody) -> str:
     """Return the first fault of a job, and where it is; empty if there is none."""
-    if len(body.spec.encode()) > MOST_SPEC_BYTES:
-        return f"spec: more than {MOST_SPEC_BYTES} bytes"
+    if len(body.spec.encode()) > MAX_SPEC_BYTES:
+        return f"spec: more than {MAX_SPEC_BYTES} bytes"
     if not body.steps:
         return "steps: expected at least one"
     if body.repeat_count < 0 or body.interval_ms < 0:
         return "repeat_count, interval_ms: expected no negative number"
     for number, step in enumerate(body.steps):
-        fault = fault_in_step(step, number)
+        fault = find_step_fault(step, number)
         if fault:
             return f"steps[{number}].{fault}"
     tasks = sum(step.count for step in body.steps) * max(int(body.repeat_count), 1)
-    if tasks > MOST_TASKS:
-        return f"steps: {tasks} tasks, at most {MOST_TASKS}"
+    if tasks > MAX_TASKS:
+        return f"steps: {tasks} tasks, at most {MAX_TASKS}"
     return ""
 
 
-def fault_in_step(step: wire.JobStep, number: int) -> str:
+def find_step_fault(step: wire.JobStep, number: int) -> str:
     """Return the first fault of a step; empty if there is none."""
     if step.count < 1:
         return "count: expected at least 1"
@@ -79,13 +79,13 @@
     return ""
 
 
-def step_of(step: wire.JobStep) -> messages.Step:
+def to_step(step: wire.JobStep) -> messages.Step:
     """Return a step in the units of the slices."""
     return messages.Step(
         count=step.count,
         need=resources.Resources(
-            cpus=step.cpu / wire.MILLI,
-            memory_gb=step.mem_mb / wire.MEGA,
+            cpus=step.cpu / wire.MILLICORES_PER_CORE,
+            memory_gb=step.mem_mb / wire.MB_PER_GB,
             accelerators=step.gpu,
         ),
         estimate=step.estimate_ms / 1000,
@@ -105,7 +105,7 @@
     )
 
 
-def catalog_of(text: str) -> messages.Catalog | None:
+def decode_catalog(text: str) -> messages.Catalog | None:
     """Return the operator's configuration; None if it can't be read."""
     try:
         found = codec.from_json(text, wire.Config, strict=False)
@@ -113,7 +113,7 @@
         return None
     return messages.Catalog(
         version=found.version,
-        queues=tuple(queue_of(route) for route in found.routes),
+        queues=tuple(to_queue(route) for route in found.routes),
         services=tuple(
             messages.Service(service.name, service.admission_check)
             for service in found.services
@@ -126,7 +126,7 @@
     )
 
 
-def queue_of(route: wire.Route) -> messages.Queue:
+def to_queue(route: wire.Route) -> messages.Queue:
     """Return a queue from the route that leads to it."""
     return messages.Queue(
         name=route.name,
--- a/src/mangosail/platform/deployment.py
+++ b/src/mangosail/platform/deployment.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StorePlace:
+class StoreSettings:
     """Where the platform's store is."""
 
     address: str = ""
@@ -59,7 +59,7 @@
     zone: str
     ip: str
     listen_addrs: Addresses
-    platform: StorePlace
+    platform: StoreSettings
     #: First and last port that instances may use among themselves.
     internal_ports: tuple[int, ...] = ()
     bounds: Bounds = Bounds()
--- a/src/mangosail/platform/entries.py
+++ b/src/mangosail/platform/entries.py
@@ -19,15 +19,15 @@
 DRAINING = "draining"
 #: Most that one worker can have: cores, gigabytes, accelerators. Far above any machine;
 #: a slip in the unit would otherwise draw all work to one worker, which refuses it.
-MOST_CORES = 4096.0
-MOST_GIGABYTES = 65536.0
-MOST_ACCELERATORS = 1024
+MAX_CORES = 4096.0
+MAX_MEMORY_GB = 65536.0
+MAX_ACCELERATORS = 1024
 #: Characters of a worker's id at most, which the platform allows a key.
-MOST_NAME = 200
-LAST_PORT = 65535
+MAX_NAME_LENGTH = 200
+MAX_PORT = 65535
 
 
-def entry_of(
+def decode_entry(
     name: str, text: str
 ) -> result.Result[messages.WorkerEntry, errors.BadEntry]:
     """Return the worker that an entry describes, or what is wrong with it.
@@ -39,7 +39,7 @@
         found = codec.from_json(text, wire.Entry)
     except codec.DecodeError:
         return result.Err(errors.BadEntry(errors.Fault.UNREADABLE))
-    fault = fault_in(name, found)
+    fault = find_fault(name, found)
     if fault is not None:
         return result.Err(errors.BadEntry(fault))
     remaining = found.remaining_ms
@@ -50,8 +50,8 @@
             address=found.address,
             data_centre=found.zone,
             capacity=resources.Resources(
-                cpus=found.capacity.cpu / wire.MILLI,
-                memory_gb=found.capacity.mem_mb / wire.MEGA,
+                cpus=found.capacity.cpu / wire.MILLICORES_PER_CORE,
+                memory_gb=found.capacity.mem_mb / wire.MB_PER_GB,
                 accelerators=found.capacity.gpu,
             ),
             labels=frozenset(found.labels),
@@ -62,22 +62,26 @@
     )
 
 
-def fault_in(name: str, entry: wire.Entry) -> errors.Fault | None:
+def find_fault(name: str, entry: wire.Entry) -> errors.Fault | None:
     """Return the first fault of an entry, or None if it has none."""
-    if not name.isascii() or not name.isprintable() or not 0 < len(name) <= MOST_NAME:
+    if (
+        not name.isascii()
+        or not name.isprintable()
+        or not 0 < len(name) <= MAX_NAME_LENGTH
+    ):
         return errors.Fault.NAME
     if entry.state not in (READY, DRAINING):
         return errors.Fault.STATE
-    if not is_address(entry.address):
+    if not is_valid_address(entry.address):
         return errors.Fault.ADDRESS
-    if not is_capacity(entry.capacity):
+    if not is_valid_capacity(entry.capacity):
         return errors.Fault.CAPACITY
     if entry.remaining_ms is not None and not math.isfinite(entry.remaining_ms):
         return errors.Fault.UNREADABLE
     return None
 
 
-def is_address(text: str) -> bool:
+def is_valid_address(text: str) -> bool:
     """Tell whether a text is an IP address with a port, as `10.128.0.9:8080`."""
     host, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdigit():
@@ -85,15 +89,15 @@
     try:
         ipaddress.IPv4Address(host)
         # Thousands of digits are no number to `int` either.
-        return 0 < int(port) <= LAST_PORT
+        return 0 < int(port) <= MAX_PORT
     except ValueError:
         return False
 
 
-def is_capacity(capacity: wire.Capacity) -> bool:
+def is_valid_capacity(capacity: wire.Capacity) -> bool:
     """Tell whether a machine can have this capacity."""
     return (
-        0 < capacity.cpu <= MOST_CORES * wire.MILLI
-        and 0 < capacity.mem_mb <= MOST_GIGABYTES * wire.MEGA
-        and 0 <= capacity.gpu <= MOST_ACCELERATORS
+        0 < capacity.cpu <= MAX_CORES * wire.MILLICORES_PER_CORE
+        and 0 < capacity.mem_mb <= MAX_MEMORY_GB * wire.MB_PER_GB
+        and 0 <= capacity.gpu <= MAX_ACCELERATORS
     )
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -19,15 +19,15 @@
 log = logbook.Logger("ingress")
 
 #: Seconds in which a request's body must have come.
-BODY_TERM = 3.0
+BODY_TIMEOUT_S = 3.0
 #: Seconds after which a caller should come back to an instance without a catalog.
-COME_BACK = 0.5
+RETRY_AFTER_S = 0.5
 
 #: Seconds that may go into reading the newest catalog for a peer: half of what the peer
 #: waits.
-PEER_REFRESH_TERM = relaying.ANSWER_TIMEOUT_S / 2
+PEER_REFRESH_TIMEOUT_S = relaying.ANSWER_TIMEOUT_S / 2
 #: Seconds after its arrival at which a request's caller is gone.
-CALLER_TERM = 3.0
+CALLER_TIMEOUT_S = 3.0
 
 #: Answers a request about a job of a queue, whose id may be empty.
 Method = cabc.Callable[[falcon.Request, falcon.Response, messages.Queue, str], None]
@@ -45,12 +45,14 @@
         relay: relaying.Relay | None = None,
     ) -> None:
         self.catalog = catalog
-        self.desk = jobs
+        self.jobs = jobs
         #: Takes what can't be done here; None for what came from a peer already.
         self.relay = relay
         #: Seconds that may go into reading the newest catalog. A peer takes silence for
         #: an open outcome, and asks this instance last from then on.
-        self.refresh_term = catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TERM
+        self.refresh_timeout = (
+            catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TIMEOUT_S
+        )
         self.clock = clock
         self.counters = counters
         self.methods: dict[str, Method] = {
@@ -60,25 +62,25 @@
         }
         self.app: t.Any = falcon.App()
         self.app.add_sink(self.dispatch, prefix="/")
-        self.app.add_error_handler(Exception, self.on_fault)
+        self.app.add_error_handler(Exception, self.on_exception)
 
     def dispatch(self, req: falcon.Request, resp: falcon.Response, **_: t.Any) -> None:
         """Answer a request, by way of a peer if the store is out of reach."""
-        req.context.deadline = self.clock.elapsed() + CALLER_TERM
+        req.context.deadline = self.clock.elapsed() + CALLER_TIMEOUT_S
         self._answer(req, resp)
         if self.relay is None:
             resp.set_header("ETag", f'"{self.catalog.version}"')
         elif resp.context.get("away"):
-            self._pass_on(self.relay, req, resp)
+            self._forward(self.relay, req, resp)
 
-    def _pass_on(
+    def _forward(
         self, relay: relaying.Relay, req: falcon.Request, resp: falcon.Response
     ) -> None:
         """Put a peer's answer in the place of the refusal, if a peer has one."""
-        body = self._body(req)
+        body = self._read_body(req)
         if isinstance(body, result.Err):
             resp.delete_header("Retry-After")
-            self._invalid(resp, body.err_value)
+            self._respond_invalid(resp, body.err_value)
             return
         request = relaying.Request(
             req.method,
@@ -95,18 +97,18 @@
                 version=self.catalog.version, age=self.catalog.age(),
             )  # fmt: skip
             return
-        if self._behind(answer):
+        if self._may_be_behind(answer):
             self.catalog.invalidate()
         resp.delete_header("Retry-After")
         if isinstance(answer, errors.Undecided):
-            self._failed(resp, answer)
+            self._respond_error(resp, answer)
             return
         resp.status = answer.status
         resp.text = answer.text
         if answer.refusal is not None:
             headers.set_retry_after(resp, answer.refusal.retry_after)
 
-    def _behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
+    def _may_be_behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
         """Tell whether a peer may have answered by a newer configuration.
 
         In doubt after each peer's answer, an instance would pass callers on for ever
@@ -120,14 +122,14 @@
     def _answer(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Find the queue that a request is about, and answer it."""
         if self.catalog.current() is None:
-            self.refuse(resp, "no_catalog", COME_BACK)
+            self.refuse(resp, "no_catalog", RETRY_AFTER_S)
             return
-        least = peering.version_of(req.get_header(peering.LEAST_VERSION))
+        least = peering.parse_version(req.get_header(peering.LEAST_VERSION))
         behind = self.catalog.invalidated or self.catalog.superseded()
         if behind or self.catalog.version < least:
-            self.refuse(resp, "catalog_stale", COME_BACK)
+            self.refuse(resp, "catalog_stale", RETRY_AFTER_S)
             return
-        queue = self._queue(req)
+        queue = self._find_queue(req)
         if isinstance(queue, result.Err):
             self.refuse(resp, queue.err_value.reason, queue.err_value.retry_after)
             return
@@ -144,7 +146,7 @@
         job_id = req.path[len(queue.ok_value.prefix) :]
         method(req, resp, queue.ok_value, job_id)
 
-    def _queue(
+    def _find_queue(
         self, req: falcon.Request
     ) -> result.Result[messages.Queue | None, errors.Refused]:
         host = req.host
@@ -152,8 +154,8 @@
         if queue is not None:
             return result.Ok(queue)
         # It may have been added just now: only a fresh catalog says that it is not.
-        if not self.catalog.refresh(self.refresh_term):
-            return result.Err(errors.Refused("catalog_stale", COME_BACK))
+        if not self.catalog.refresh(self.refresh_timeout):
+            return result.Err(errors.Refused("catalog_stale", RETRY_AFTER_S))
         return result.Ok(self.catalog.find(host, req.path))
 
     def on_post(
@@ -164,17 +166,17 @@
         job_id: str,
     ) -> None:
         """Accept a job."""
-        body = self._body(req)
+        body = self._read_body(req)
         if isinstance(body, result.Err):
-            self._invalid(resp, body.err_value)
+            self._respond_invalid(resp, body.err_value)
             return
-        job = decoding.job_of(body.ok_value, job_id, queue, self.clock.wall())
+        job = decoding.decode_job(body.ok_value, job_id, queue, self.clock.wall())
         if isinstance(job, result.Err):
-            self._invalid(resp, job.err_value)
+            self._respond_invalid(resp, job.err_value)
             return
-        done = self.desk.submit(job.ok_value)
+        done = self.jobs.submit(job.ok_value)
         if isinstance(done, result.Err):
-            self._failed(resp, done.err_value)
+            self._respond_error(resp, done.err_value)
 
     def on_get(
         self,
@@ -185,15 +187,15 @@
     ) -> None:
         """Tell a job's state, or how many jobs of a queue wait."""
         if not job_id:
-            pending = self.desk.pending(queue.name)
+            pending = self.jobs.pending(queue.name)
             if isinstance(pending, result.Err):
-                self._failed(resp, pending.err_value)
+                self._respond_error(resp, pending.err_value)
                 return
             resp.text = codec.to_json(wire.PendingPage(pending.ok_value))
             return
-        state = self.desk.state(job_id)
+        state = self.jobs.state(job_id)
         if isinstance(state, result.Err):
-            self._failed(resp, state.err_value)
+            self._respond_error(resp, state.err_value)
             return
         resp.text = codec.to_json(wire.StatePage(state.ok_value.value))
 
@@ -205,11 +207,11 @@
         job_id: str,
     ) -> None:
         """Cancel a job."""
-        done = self.desk.cancel(job_id)
+        done = self.jobs.cancel(job_id)
         if isinstance(done, result.Err):
-            self._failed(resp, done.err_value)
+            self._respond_error(resp, done.err_value)
 
-    def _body(self, req: falcon.Request) -> result.Result[bytes, errors.Invalid]:
+    def _read_body(self, req: falcon.Request) -> result.Result[bytes, errors.Invalid]:
         """Return the body, which is read once, however often it is asked for."""
         if "body" in req.context:
             return result.Ok(req.context.body)
@@ -218,7 +220,7 @@
         most = limits.body_bytes
         if (req.content_length or 0) > most:
             return result.Err(errors.Invalid(f"body: more than {most} bytes"))
-        with gevent.Timeout(BODY_TERM, False):
+        with gevent.Timeout(BODY_TIMEOUT_S, False):
             data = req.bounded_stream.read(most + 1)
             if len(data) > most:
                 return result.Err(errors.Invalid(f"body: more than {most} bytes"))
@@ -226,12 +228,14 @@
             return result.Ok(data)
         return result.Err(errors.Invalid("body: did not come in time"))
 
-    def _invalid(self, resp: falcon.Response, invalid: errors.Invalid) -> None:
+    def _respond_invalid(self, resp: falcon.Response, invalid: errors.Invalid) -> None:
         self.counters.count("ingress.refused.invalid")
         resp.status = falcon.HTTP_BAD_REQUEST
         resp.text = codec.to_json({"title": "invalid", "description": invalid.fault})
 
-    def _failed(self, resp: falcon.Response, error: job_service.ChangeError) -> None:
+    def _respond_error(
+        self, resp: falcon.Response, error: job_service.ChangeError
+    ) -> None:
         if isinstance(error, errors.UnknownJob):
             self.counters.count("ingress.unknown_job")
             resp.status = falcon.HTTP_GONE
@@ -253,7 +257,7 @@
         resp.text = codec.to_json({"title": reason, "retry_after": retry_after})
         headers.set_retry_after(resp, retry_after)
 
-    def on_fault(
+    def on_exception(
         self, req: falcon.Request, resp: falcon.Response, ex: Exception, params: t.Any
     ) -> None:
         """Answer a fault of the program; whether anything was stored is not known."""
--- a/src/mangosail/platform/peering.py
+++ b/src/mangosail/platform/peering.py
@@ -13,7 +13,7 @@
 #: Connections to one peer at a time.
 CONNECTIONS = 8
 #: Peers whose connections are kept at most.
-MOST_KEPT = 64
+MAX_CALLERS = 64
 #: Header with the version of the configuration that a peer must have at least. The
 #: `ETag` of its answer is the version by which it answered.
 LEAST_VERSION = "Mangosail-Least-Version"
@@ -31,7 +31,7 @@
     """Sends requests to peers; its `send` is a `relaying.Send`."""
 
     def __init__(self) -> None:
-        self.callers = http_caller.Callers(CONNECTIONS, MOST_KEPT)
+        self.callers = http_caller.Callers(CONNECTIONS, MAX_CALLERS)
 
     def send(
         self, address: str, request: relaying.Request
@@ -48,7 +48,7 @@
             request.body,
             headers,
             relaying.ANSWER_TIMEOUT_S,
-            longest=relaying.ANSWER_TIMEOUT_S,
+            total_timeout=relaying.ANSWER_TIMEOUT_S,
         )
         if isinstance(answer, result.Ok):
             return result.Ok(answer_of(answer.ok_value))
@@ -60,11 +60,11 @@
 def answer_of(reply: http_caller.Reply) -> relaying.Answer:
     """Return what a peer replied."""
     text = reply.body.decode(errors="replace")
-    refusal = refusal_of(text) if reply.status == relaying.REFUSED_STATUS else None
-    return relaying.Answer(reply.status, text, version_of(reply.etag), refusal)
+    refusal = decode_refusal(text) if reply.status == relaying.REFUSED_STATUS else None
+    return relaying.Answer(reply.status, text, parse_version(reply.etag), refusal)
 
 
-def refusal_of(text: str) -> intake_errors.Refused | None:
+def decode_refusal(text: str) -> intake_errors.Refused | None:
     """Return what the text of a refusal says; None if it can't be read."""
     try:
         refusal = codec.from_json(text, Refusal)
@@ -73,7 +73,7 @@
     return intake_errors.Refused(refusal.title, refusal.retry_after)
 
 
-def version_of(text: str | None) -> int:
+def parse_version(text: str | None) -> int:
     """Return a version in a header; 0 if there is none."""
     digits = (text or "").strip('"')
     return int(digits) if digits.isdigit() else 0
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -35,11 +35,11 @@
 METRICS_PORT = 9464
 #: Seconds that callers are still served at a planned stop while the balancer finds
 #: out: two of its checks, and a little more.
-NOTICE_TERM = 2.3
+NOT_READY_PERIOD_S = 2.3
 #: Seconds before the kill by which a planned stop must be over.
-STOP_MARGIN = 0.8
+STOP_MARGIN_S = 0.8
 #: Seconds between looks at what is in flight.
-POLL_INTERVAL = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Process:
@@ -53,13 +53,13 @@
         self.catalog = catalogs.Catalogs(
             self.store,
             CONFIG_KEY,
-            decoding.catalog_of,
+            decoding.decode_catalog,
             self.clock,
             self.counters,
             settings.bounds.config_apply_ms / 1000,
             CLOSED_PREFIX,
         )
-        self.desk = job_service.JobService(
+        self.jobs = job_service.JobService(
             self.store, self.catalog.stale, self.clock, self.counters
         )
         rand = random.Random(f"{settings.node_name}{os.getpid()}{self.clock.wall()}")
@@ -74,11 +74,11 @@
             self.peers, peering.HttpPeers().send, self.clock, self.counters
         )
         self.ingress = ingress.Ingress(
-            self.catalog, self.desk, self.clock, self.counters, self.relay
+            self.catalog, self.jobs, self.clock, self.counters, self.relay
         )
         #: Answers what peers pass on.
-        self.for_peers = ingress.Ingress(
-            self.catalog, self.desk, self.clock, self.counters
+        self.peer_ingress = ingress.Ingress(
+            self.catalog, self.jobs, self.clock, self.counters
         )
         self.readiness = ingress.Readiness(self.catalog)
         self.leadership = leadership.Leadership(
@@ -105,9 +105,9 @@
             self.readiness.app, self.settings.listen_addrs.ready, self.counters
         )
         ready.start()
-        self.gate = server.RequestLimiter(self.ingress.app, self.counters)
+        self.limiter = server.RequestLimiter(self.ingress.app, self.counters)
         self.front = server.create(
-            self.gate, self.settings.listen_addrs.front, self.counters
+            self.limiter, self.settings.listen_addrs.front, self.counters
         )
         metrics = server.create(
             exposition.Exposition(self.counters),
@@ -117,7 +117,7 @@
         metrics.start()
         if self.settings.peer_address:
             server.create(
-                self.for_peers.app, self.settings.peer_address, self.counters
+                self.peer_ingress.app, self.settings.peer_address, self.counters
             ).start()
             gevent.spawn(self.peers.run)
         gevent.spawn(self._lead_forever)
@@ -140,7 +140,7 @@
             self.workers,
             held,
             self.catalog.current,
-            entries.entry_of,
+            entries.decode_entry,
             WORKERS_PREFIX,
             self.settings.bounds.status_s,
             self.advisor,
@@ -173,16 +173,16 @@
         self.stopping = True
         log.info("stopping")
         self.readiness.draining = True
-        self.gate.closing = True
-        deadline = self.clock.elapsed() + self.settings.bounds.grace_s - STOP_MARGIN
+        self.limiter.closing = True
+        deadline = self.clock.elapsed() + self.settings.bounds.grace_s - STOP_MARGIN_S
         if self.scheduler is not None:
             self.scheduler.stop()
         if self.settings.peer_address:
             gevent.spawn(self.peers.deregister)
-        self.clock.sleep(NOTICE_TERM)
+        self.clock.sleep(NOT_READY_PERIOD_S)
         self.front.close()
         while self.front.busy() and self.clock.elapsed() < deadline:
-            self.clock.sleep(POLL_INTERVAL)
+            self.clock.sleep(POLL_INTERVAL_S)
         self.front.stop(timeout=0)
 
 
--- a/src/mangosail/platform/store.py
+++ b/src/mangosail/platform/store.py
@@ -24,17 +24,17 @@
 
 #: Seconds after which a write is given up, and then sent again on a new
 #: connection; three slow answers of the store.
-WRITE_TIMEOUT = 1.3
+WRITE_TIMEOUT_S = 1.3
 #: Seconds after which a reading is given up.
-READ_TIMEOUT = 1.3
+READ_TIMEOUT_S = 1.3
 #: Connections for calls, for requests that wait for changes, and for whole shards.
 CONNECTIONS = 16
 FEED_CONNECTIONS = 4
 BULK_CONNECTIONS = 8
 #: Bytes of an answer beside the values of its rows, which are base64: 4 for 3.
-ROW_BYTES = 1000
+ROW_OVERHEAD_BYTES = 1000
 #: Rows that one reading asks for; the platform gives no more.
-PAGE = 500
+PAGE_ROWS = 500
 #: Follows every key that begins with the text before it.
 AFTER_PREFIX = "\x7f"
 
@@ -51,11 +51,11 @@
     def __init__(self, address: str) -> None:
         self.caller = http_caller.Caller(address, CONNECTIONS)
         #: Requests that wait for changes, on connections of their own.
-        self.feeds = http_caller.Caller(address, FEED_CONNECTIONS)
+        self.feed_caller = http_caller.Caller(address, FEED_CONNECTIONS)
         #: Readings of whole shards, on connections of their own. On a narrow link they
         #: take seconds; the renewal of the lease waited for a connection meanwhile, and
         #: another instance took it.
-        self.bulk = http_caller.Caller(address, BULK_CONNECTIONS)
+        self.bulk_caller = http_caller.Caller(address, BULK_CONNECTIONS)
         #: Reads no more shards at a time than there are connections: the time limit of
         #: a reading runs while it waits for one.
         self.readers = gevent.pool.Pool(BULK_CONNECTIONS)
@@ -64,34 +64,34 @@
         self, keys: t.Sequence[str]
     ) -> result.Result[dict[str, table.Row], errors.Unavailable]:
         """Return the rows of `keys`, which are of one kind and shard, that exist."""
-        kind, shard, _ = split(keys[0])
-        names = sorted(split(key)[2] for key in keys)
+        kind, shard, _ = split_key(keys[0])
+        names = sorted(split_key(key)[2] for key in keys)
         query = {"table": kind, "part": shard, "from": names[0]}
         if len(names) == 1:
             query["limit"] = "1"
         else:
             query["target"] = names[-1] + AFTER_PREFIX
-        found = self._page(query, self.caller)
+        found = self._read_page(query, self.caller)
         if isinstance(found, result.Err):
             return found
         wanted = set(keys)
-        rows = (row_of(row) for row in found.ok_value.rows)
+        rows = (decode_row(row) for row in found.ok_value.rows)
         return result.Ok({row.key: row for row in rows if row.key in wanted})
 
     def scan(
-        self, prefix: str, after: str = "", limit: int = PAGE
+        self, prefix: str, after: str = "", limit: int = PAGE_ROWS
     ) -> result.Result[list[table.Row], errors.Unavailable]:
         """Return at most `limit` rows under `prefix`, by key, past key `after`."""
-        kind, shard, name = split(prefix)
-        first = split(after)[2] + "\x01" if after else name
+        kind, shard, name = split_key(prefix)
+        first = split_key(after)[2] + "\x01" if after else name
         query = {"table": kind, "part": shard, "from": first, "limit": str(limit)}
         if name:
             query["target"] = name + AFTER_PREFIX
-        found = self._page(query, self.caller)
-        return found.map(lambda page: [row_of(row) for row in page.rows])
+        found = self._read_page(query, self.caller)
+        return found.map(lambda page: [decode_row(row) for row in page.rows])
 
     def read_all(
-        self, prefix: str, heard: ports.OnData = ports.ignore_data
+        self, prefix: str, on_data: ports.OnData = ports.ignore_data
     ) -> result.Result[ports.Changes, errors.Unavailable]:
         """Return every row under `prefix` and a version to follow changes from.
 
@@ -101,18 +101,18 @@
         """
         kind, _, shard = prefix.rstrip("/").partition("/")
         if shard or prefix.endswith("//"):
-            return self.readers.spawn(self._read_shard, kind, shard, heard).get()
-        return self._read_shards(kind, heard)
+            return self.readers.spawn(self._read_shard, kind, shard, on_data).get()
+        return self._read_shards(kind, on_data)
 
     def _read_shards(
-        self, kind: str, heard: ports.OnData
+        self, kind: str, on_data: ports.OnData
     ) -> result.Result[ports.Changes, errors.Unavailable]:
         """Return the rows of all shards, which are read at the same time."""
-        found = self._shards(kind)
+        found = self._list_shards(kind)
         if isinstance(found, result.Err):
             return found
         readers = [
-            self.readers.spawn(self._read_shard, kind, shard, heard)
+            self.readers.spawn(self._read_shard, kind, shard, on_data)
             for shard in found.ok_value.parts
         ]
         gevent.joinall(readers)
@@ -126,23 +126,25 @@
             rows.extend(page.ok_value.rows)
         return result.Ok(ports.Changes(tuple(rows), (), version))
 
-    def _shards(self, kind: str) -> result.Result[wire.Parts, errors.Unavailable]:
+    def _list_shards(self, kind: str) -> result.Result[wire.Parts, errors.Unavailable]:
         query = urllib.parse.urlencode({"table": kind})
-        answer = self.caller.call("GET", "/-/rows-parts?" + query, timeout=READ_TIMEOUT)
-        return decoded(answer, wire.Parts)
+        answer = self.caller.call(
+            "GET", "/-/rows-parts?" + query, timeout=READ_TIMEOUT_S
+        )
+        return decode_answer(answer, wire.Parts)
 
     def _read_shard(
-        self, kind: str, shard: str, heard: ports.OnData
+        self, kind: str, shard: str, on_data: ports.OnData
     ) -> result.Result[ports.Changes, errors.Unavailable]:
-        query = {"table": kind, "part": shard, "limit": str(PAGE)}
+        query = {"table": kind, "part": shard, "limit": str(PAGE_ROWS)}
         rows: list[table.Row] = []
         version = None
         while True:
-            found = self._page(query, self.bulk, heard)
+            found = self._read_page(query, self.bulk_caller, on_data)
             if isinstance(found, result.Err):
                 return found
             page = found.ok_value
-            rows.extend(row_of(row) for row in page.rows)
+            rows.extend(decode_row(row) for row in page.rows)
             version = page.ver if version is None else version
             if not page.more_pages or not page.rows:
                 return result.Ok(ports.Changes(tuple(rows), (), version))
@@ -153,8 +155,8 @@
         prefix: str,
         after: int,
         wait: float,
-        heard: ports.OnData = ports.ignore_data,
-        most: int | None = None,
+        on_data: ports.OnData = ports.ignore_data,
+        max_bytes: int | None = None,
     ) -> result.Result[
         ports.Changes, errors.Unavailable | ports.HistoryLost | ports.TooLong
     ]:
@@ -163,11 +165,15 @@
         every = not shard and not prefix.endswith("//")
         query = {"table": kind, "after": str(after), "wait_ms": str(int(wait * 1000))}
         path = "/-/rows-feed?" + urllib.parse.urlencode(query)
-        caller = self.feeds if wait else self.caller
-        if most is not None:
-            most = most * 4 // 3 + ROW_BYTES
+        caller = self.feed_caller if wait else self.caller
+        if max_bytes is not None:
+            max_bytes = max_bytes * 4 // 3 + ROW_OVERHEAD_BYTES
         answer = caller.call(
-            "GET", path, timeout=wait + READ_TIMEOUT, heard=heard, most=most
+            "GET",
+            path,
+            timeout=wait + READ_TIMEOUT_S,
+            on_data=on_data,
+            max_bytes=max_bytes,
         )
         if isinstance(answer, result.Err) and isinstance(
             answer.err_value, errors.TooLong
@@ -175,13 +181,15 @@
             return result.Err(ports.TooLong())
         if isinstance(answer, result.Ok) and answer.ok_value.status == HISTORY_LOST:
             return result.Err(ports.HistoryLost())
-        page = decoded(answer, wire.Page)
+        page = decode_answer(answer, wire.Page)
         if isinstance(page, result.Err):
             return page
-        rows = latest(row for row in page.ok_value.rows if every or row.part == shard)
+        rows = latest_changes(
+            row for row in page.ok_value.rows if every or row.part == shard
+        )
         return result.Ok(
             ports.Changes(
-                tuple(row_of(row) for row in rows if not row.tombstone),
+                tuple(decode_row(row) for row in rows if not row.tombstone),
                 tuple(key_of(row) for row in rows if row.tombstone),
                 page.ok_value.ver,
             )
@@ -191,8 +199,8 @@
         self, transaction: table.Transaction
     ) -> result.Result[int, errors.CommitError]:
         """Apply `transaction` and return the version that its writes got."""
-        body = codec.to_json(message_of(transaction)).encode()
-        answer = self.caller.call("POST", "/-/rows-tx", body, timeout=WRITE_TIMEOUT)
+        body = codec.to_json(to_message(transaction)).encode()
+        answer = self.caller.call("POST", "/-/rows-tx", body, timeout=WRITE_TIMEOUT_S)
         if isinstance(answer, result.Err):
             return answer
         reply = answer.ok_value
@@ -200,7 +208,7 @@
             if reply.status == OK:
                 return result.Ok(codec.from_json(reply.body, wire.Committed).ver)
             if reply.status == CONFLICT:
-                return result.Err(conflict_of(transaction, reply.body))
+                return result.Err(find_conflict(transaction, reply.body))
         except codec.DecodeError as exc:
             # The status is certain, the version is not known: as good as lost.
             log.error("answer of the store unreadable", error=str(exc))
@@ -213,18 +221,18 @@
             return result.Err(errors.Unavailable(f"status {reply.status}"))
         return result.Err(errors.Uncertain(f"status {reply.status}"))
 
-    def _page(
+    def _read_page(
         self,
         query: dict[str, str],
         caller: http_caller.Caller,
-        heard: ports.OnData | None = None,
+        on_data: ports.OnData | None = None,
     ) -> result.Result[wire.Page, errors.Unavailable]:
         path = "/-/rows-get?" + urllib.parse.urlencode(query)
-        answer = caller.call("GET", path, timeout=READ_TIMEOUT, heard=heard)
-        return decoded(answer, wire.Page)
+        answer = caller.call("GET", path, timeout=READ_TIMEOUT_S, on_data=on_data)
+        return decode_answer(answer, wire.Page)
 
 
-def decoded(
+def decode_answer(
     answer: result.Result[http_caller.Reply, http_caller.CallError], kind: type[T]
 ) -> result.Result[T, errors.Unavailable]:
     """Return what is in an answer, or why there is nothing."""
@@ -240,13 +248,13 @@
         return result.Err(errors.Unavailable("unreadable"))
 
 
-def split(key: str) -> tuple[str, str, str]:
+def split_key(key: str) -> tuple[str, str, str]:
     """Return kind, shard and the rest of a key."""
     kind, shard, name = key.split("/", 2)
     return kind, shard, name
 
 
-def latest(rows: t.Iterable[wire.Row]) -> list[wire.Row]:
+def latest_changes(rows: t.Iterable[wire.Row]) -> list[wire.Row]:
     """Return the last change of each row.
 
     One answer can tell that a row was dropped and that it came back. Told apart
@@ -261,12 +269,12 @@
     return f"{row.table}/{row.part}/{row.key}"
 
 
-def row_of(row: wire.Row) -> table.Row:
+def decode_row(row: wire.Row) -> table.Row:
     """Return a row of the store as the rest of the program knows it."""
-    return table.Row(key_of(row), text_of(row.value), row.ver)
+    return table.Row(key_of(row), decode_value(row.value), row.ver)
 
 
-def text_of(value: str) -> str:
+def decode_value(value: str) -> str:
     """Return the text of a row's value, or an empty one if it holds none.
 
     Other writers may put any bytes into a row. When they raised an error, one row ended
@@ -280,16 +288,16 @@
         return ""
 
 
-def message_of(transaction: table.Transaction) -> wire.Transaction:
+def to_message(transaction: table.Transaction) -> wire.Transaction:
     """Return a transaction as the store takes it."""
     message = wire.Transaction()
     for check in transaction.checks:
-        kind, shard, name = split(check.key)
+        kind, shard, name = split_key(check.key)
         message.expected_revision.append(
             wire.Expected(kind, shard, name, check.version)
         )
     for write in transaction.writes:
-        kind, shard, name = split(write.key)
+        kind, shard, name = split_key(write.key)
         if write.value is None:
             message.remove.append(wire.Removal(kind, shard, name))
         else:
@@ -298,7 +306,7 @@
     return message
 
 
-def conflict_of(transaction: table.Transaction, body: bytes) -> errors.Conflict:
+def find_conflict(transaction: table.Transaction, body: bytes) -> errors.Conflict:
     """Return which row had another version than the transaction expected."""
     found = codec.from_json(body, wire.Page)
     versions = {key_of(row): row.ver for row in found.rows}
--- a/src/mangosail/platform/wire.py
+++ b/src/mangosail/platform/wire.py
@@ -7,8 +7,8 @@
 import dataclasses
 
 #: Thousandths of a core, and megabytes, of what the slices count in.
-MILLI = 1000
-MEGA = 1024
+MILLICORES_PER_CORE = 1000
+MB_PER_GB = 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -215,7 +215,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ordered:
+class OrderAnswer:
     """A worker's answer to an order."""
 
     clock_ms: float | None = None
@@ -223,7 +223,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class HeldRuns:
     """A worker's answer to a look; rows are lists, as the page orders them."""
 
     clock_ms: float
@@ -233,7 +233,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Advise:
+class AdviceRequest:
     """A question which of the workers may run a step."""
 
     step: str
@@ -241,7 +241,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Advised:
+class AdviceAnswer:
     """Workers that may run the step, each with its ticket."""
 
     good: list[tuple[str, str]] = dataclasses.field(default_factory=list)
--- a/src/mangosail/platform/workers.py
+++ b/src/mangosail/platform/workers.py
@@ -14,12 +14,12 @@
 log = logbook.Logger("workers")
 
 #: Seconds after which an order without an answer is in doubt.
-ORDER_TIMEOUT = 0.9
+ORDER_TIMEOUT_S = 0.9
 #: Seconds that a look may take beyond the time that it waits for an end.
-LOOK_TIMEOUT = 0.8
+POLL_MARGIN_S = 0.8
 #: Seconds within which a look must have come whole: the answers of many workers share a
 #: narrow link. One that is later could not extend leases, of 4.3 s, in time.
-LOOK_TERM = 3.0
+POLL_TOTAL_TIMEOUT_S = 3.0
 #: Connections to one worker for orders; of the 64 that it takes, a share that
 #: leaves room for a later leader.
 ORDER_CONNECTIONS = 6
@@ -27,19 +27,19 @@
 #: takes one more for looks, and callers, peers and the store need some hundreds.
 ORDER_SHARE = 0.6
 #: Connections to one worker for looks, which follow one another.
-LOOK_CONNECTIONS = 1
+POLL_CONNECTIONS = 1
 #: Connections for orders that each worker needs at least: one order may wait for its
 #: answer while a look aside finds out what became of it.
-LEAST_ORDER_CONNECTIONS = 2
+MIN_ORDER_CONNECTIONS = 2
 #: Descriptors for files, callers, peers and the store.
-OTHER_DESCRIPTORS = 800
+RESERVED_DESCRIPTORS = 800
 #: Workers that are gone whose connections are kept beside those that are attended to.
-MOST_GONE = 200
+MAX_GONE_WORKERS = 200
 
 OK = 200
 INVALID = 400
 REJECTED = 409
-OTHER_LIFE = 421
+OTHER_INCARNATION = 421
 
 #: Words of the platform for why an order was rejected.
 REASONS = {
@@ -55,13 +55,13 @@
     """Speaks to workers, with pooled connections to each."""
 
     def __init__(self, descriptors: int) -> None:
-        each = LOOK_CONNECTIONS + LEAST_ORDER_CONNECTIONS
+        each = POLL_CONNECTIONS + MIN_ORDER_CONNECTIONS
         #: Workers that the descriptors are enough for.
-        self.most = max((descriptors - OTHER_DESCRIPTORS) // each, 1)
-        kept = self.most + MOST_GONE
+        self.most = max((descriptors - RESERVED_DESCRIPTORS) // each, 1)
+        kept = self.most + MAX_GONE_WORKERS
         budget = int(descriptors * ORDER_SHARE)
-        self.orders = http_caller.Callers(ORDER_CONNECTIONS, kept, budget)
-        self.looks = http_caller.Callers(LOOK_CONNECTIONS, kept)
+        self.order_callers = http_caller.Callers(ORDER_CONNECTIONS, kept, budget)
+        self.poll_callers = http_caller.Callers(POLL_CONNECTIONS, kept)
 
     def start(
         self, worker: messages.WorkerEntry, order: messages.StartOrder
@@ -114,22 +114,22 @@
             body["deadline_ms"] = deadline
         if wait:
             body["wait_ms"] = int(wait * 1000)
-        callers = self.orders if out_of_band else self.looks
+        callers = self.order_callers if out_of_band else self.poll_callers
         answer = callers.get(worker.name, worker.address).call(
             "POST",
             "/-/hold",
             codec.to_json(body).encode(),
             headers_for(worker),
-            wait + LOOK_TIMEOUT,
-            longest=LOOK_TERM,
+            wait + POLL_MARGIN_S,
+            total_timeout=POLL_TOTAL_TIMEOUT_S,
         )
         if isinstance(answer, result.Err):
-            return result.Err(unanswered(answer.err_value))
+            return result.Err(to_order_error(answer.err_value))
         reply = answer.ok_value
         if reply.status != OK:
-            return result.Err(refusal_of(reply))
+            return result.Err(decode_refusal(reply))
         try:
-            return result.Ok(look_of(codec.from_json(reply.body, wire.Held)))
+            return result.Ok(to_report(codec.from_json(reply.body, wire.HeldRuns)))
         except (codec.DecodeError, ValueError, IndexError) as exc:
             log.error("look unreadable", worker=worker.name, error=str(exc))
             return result.Err(errors.Silent("unreadable"))
@@ -137,16 +137,16 @@
     def _order(
         self, worker: messages.WorkerEntry, path: str, body: str
     ) -> result.Result[int, errors.OrderError]:
-        answer = self.orders.get(worker.name, worker.address).call(
-            "POST", path, body.encode(), headers_for(worker), ORDER_TIMEOUT,
-            longest=ORDER_TIMEOUT,
+        answer = self.order_callers.get(worker.name, worker.address).call(
+            "POST", path, body.encode(), headers_for(worker), ORDER_TIMEOUT_S,
+            total_timeout=ORDER_TIMEOUT_S,
         )  # fmt: skip
         if isinstance(answer, result.Err):
-            return result.Err(unanswered(answer.err_value))
+            return result.Err(to_order_error(answer.err_value))
         reply = answer.ok_value
         if reply.status != OK:
-            return result.Err(refusal_of(reply))
-        return result.Ok(int(ordered(reply.body).clock_ms or 0))
+            return result.Err(decode_refusal(reply))
+        return result.Ok(int(decode_order_answer(reply.body).clock_ms or 0))
 
 
 def headers_for(worker: messages.WorkerEntry) -> dict[str, str]:
@@ -154,16 +154,16 @@
     return {"Content-Type": "application/json", "Expect-Instance": worker.name}
 
 
-def unanswered(error: http_caller.CallError) -> errors.OrderError:
+def to_order_error(error: http_caller.CallError) -> errors.OrderError:
     """Return what a call without an answer means for its order."""
     if isinstance(error, call_errors.Unavailable):
         return errors.Unwell(0)
     return errors.Silent(error.reason)
 
 
-def refusal_of(reply: http_caller.Reply) -> errors.OrderError:
+def decode_refusal(reply: http_caller.Reply) -> errors.OrderError:
     """Return what an answer other than success means for its order."""
-    if reply.status == OTHER_LIFE:
+    if reply.status == OTHER_INCARNATION:
         return errors.Replaced()
     if reply.status in (429, 503):
         return errors.Unwell(reply.status)
@@ -172,21 +172,21 @@
         return errors.Rejected(errors.Reason.INVALID)
     if reply.status != REJECTED:
         return errors.Silent(f"status {reply.status}")
-    answer = ordered(reply.body)
+    answer = decode_order_answer(reply.body)
     clock = None if answer.clock_ms is None else int(answer.clock_ms)
     return errors.Rejected(REASONS.get(answer.reason, errors.Reason.INVALID), clock)
 
 
-def ordered(body: bytes) -> wire.Ordered:
+def decode_order_answer(body: bytes) -> wire.OrderAnswer:
     """Return a worker's answer; one that can't be read says nothing."""
     try:
-        return codec.from_json(body, wire.Ordered)
+        return codec.from_json(body, wire.OrderAnswer)
     except codec.DecodeError as exc:
         log.error("answer of a worker unreadable", error=str(exc))
-        return wire.Ordered()
+        return wire.OrderAnswer()
 
 
-def look_of(held: wire.Held) -> messages.WorkerReport:
+def to_report(held: wire.HeldRuns) -> messages.WorkerReport:
     """Return a look from the rows in which the worker gives it."""
     running = tuple(
         messages.RunningTask(
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -253,7 +253,7 @@
         body = '{"steps":[{"count":1,"cpu":2500,"mem_mb":2048}]}'
     if body == "a job of 300 steps":
         body = json.dumps({"steps": [{"count": 1}] * 300})
-    context.job = decoding.job_of(body.encode(), JOB, QUEUE, 1000.0)
+    context.job = decoding.decode_job(body.encode(), JOB, QUEUE, 1000.0)
 
 
 @then('it is refused for "{fault}"')
@@ -276,7 +276,7 @@
     context.clock = memory.Clock()
     counted = counters.StatsdCounters(None, 0)
     catalog = catalogs.Catalogs(
-        context.store, "op//config", decoding.catalog_of, context.clock, counted
+        context.store, "op//config", decoding.decode_catalog, context.clock, counted
     )
     assert catalog.refresh()
     jobs = job_service.JobService(context.store, catalog.stale, context.clock, counted)
--- a/tests/adapter/steps/connections_steps.py
+++ b/tests/adapter/steps/connections_steps.py
@@ -7,7 +7,7 @@
 def fleet(context, count, descriptors):
     context.count = count
     context.descriptors = descriptors
-    context.orders = workers.HttpWorkers(descriptors).orders
+    context.orders = workers.HttpWorkers(descriptors).order_callers
 
 
 @when("orders go to each of them")
--- a/tests/adapter/steps/entries_steps.py
+++ b/tests/adapter/steps/entries_steps.py
@@ -55,12 +55,14 @@
 
 @when("an entry is read as a worker wrote it")
 def read_good(context):
-    context.entry = entries.entry_of(NAME, json.dumps(GOOD))
+    context.entry = entries.decode_entry(NAME, json.dumps(GOOD))
 
 
 @when("an entry is read that has a birth")
 def read_born(context):
-    context.entry = entries.entry_of(NAME, json.dumps({**GOOD, "born": 1792742400123}))
+    context.entry = entries.decode_entry(
+        NAME, json.dumps({**GOOD, "born": 1792742400123})
+    )
 
 
 @when("an entry is read that tells no birth")
@@ -85,7 +87,7 @@
     entry = json.loads(json.dumps(GOOD))
     if wrong in WRONG:
         WRONG[wrong](entry)
-    context.entry = entries.entry_of(NAME, TEXTS.get(wrong, json.dumps(entry)))
+    context.entry = entries.decode_entry(NAME, TEXTS.get(wrong, json.dumps(entry)))
 
 
 @then("it is bad for its {fault}")
@@ -95,7 +97,7 @@
 
 def check(text):
     """Hold an entry against what the scheduler relies on."""
-    found = entries.entry_of(NAME, text)
+    found = entries.decode_entry(NAME, text)
     if isinstance(found, result.Err):
         assert isinstance(found.err_value, errors.BadEntry)
         return
@@ -103,8 +105,8 @@
     host, _, port = entry.address.rpartition(":")
     ipaddress.ip_address(host)
     assert 0 < int(port) < 65536
-    assert 0 < entry.capacity.cpus <= entries.MOST_CORES
-    assert 0 < entry.capacity.memory_gb <= entries.MOST_GIGABYTES
+    assert 0 < entry.capacity.cpus <= entries.MAX_CORES
+    assert 0 < entry.capacity.memory_gb <= entries.MAX_MEMORY_GB
     assert entry.capacity.accelerators >= 0
     json.dumps([entry.service, entry.data_centre, sorted(entry.labels)]).encode()
 
@@ -114,10 +116,10 @@
     @hypothesis.given(st.binary(), st.text())
     def reads(data, raw):
         value = base64.b64encode(data).decode()
-        row = store.row_of(wire.Row("w", "servers", "", value, 3))
+        row = store.decode_row(wire.Row("w", "servers", "", value, 3))
         assert row.value.encode() in (data, b"")
         check(row.value)
-        assert isinstance(store.text_of(raw), str)
+        assert isinstance(store.decode_value(raw), str)
 
     reads()
 
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -38,7 +38,7 @@
     context.store = store.Store(context.platform.address)
     clock, counted = clocks.SystemClock(), counters.StatsdCounters(None, 0)
     context.catalog = catalogs.Catalogs(
-        context.store, CONFIG, decoding.catalog_of, clock, counted
+        context.store, CONFIG, decoding.decode_catalog, clock, counted
     )
     jobs = job_service.JobService(context.store, context.catalog.stale, clock, counted)
     #: Answers what peers pass on; the other one answers callers, and knows no peer.
@@ -370,13 +370,13 @@
     held = None
     while held is None:
         held = watching.check()
-    catalog = decoding.catalog_of(narrow.configuration(1, 1, HOST))
+    catalog = decoding.decode_catalog(narrow.configuration(1, 1, HOST))
     context.scheduler = scheduler.Scheduler(
         rows,
         workers.HttpWorkers(4096),
         held,
         lambda: catalog,
-        entries.entry_of,
+        entries.decode_entry,
         "servers//",
         120,
         advice.NoAdvisor(),
