--- a/src/mangosail/platform/advisor.py
+++ b/src/mangosail/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The service that says which workers may run a step, over HTTP."""
+"""Client of the service that tells which workers may run a step."""
 
 import result
 
@@ -7,16 +7,16 @@
 from mangosail.platform import wire
 from mangosail.scheduler import advice
 
-#: Seconds after which a call is given up; calls of one instance wait for each other.
+#: Timeout of a call, in seconds; calls of one instance queue behind each other.
 TIMEOUT_S = 3.0
-#: Connections at a time; the service takes one call of an instance after the other.
+#: Pool size; the service handles the calls of one instance one at a time.
 CONNECTIONS = 2
 
 OK = 200
 
 
 class HttpAdvisor:
-    """Asks the service; implements `advice.Advisor`."""
+    """Implements `advice.Advisor` over HTTP."""
 
     def __init__(self, address: str) -> None:
         self.caller = http_caller.Caller(address, CONNECTIONS)
--- a/src/mangosail/platform/batching.py
+++ b/src/mangosail/platform/batching.py
@@ -1,8 +1,8 @@
-"""Group commit: transactions of one instance travel together.
+"""Group commit: merges transactions of one instance into larger ones.
 
-A claim and an end are a row or two each; the table takes several hundred
-commits a second for all instances. `GroupCommit` is a table itself, so nobody
-who writes needs to know that the writes are merged::
+A claim or an end writes only one or two rows, and the table takes several hundred
+commits a second for all instances together. `GroupCommit` implements the table
+interface itself, so writers need not know that their writes are merged::
 
     rows = batching.GroupCommit(http.HttpTable(caller), counters)
     gevent.spawn(rows.run)
@@ -25,29 +25,29 @@
 
 #: Seconds for which the first transaction of a group waits for others.
 WINDOW_S = 0.01
-#: Most transactions in a group; keeps one commit small.
+#: Maximum number of transactions in a group; keeps each commit small.
 MAX_GROUP_SIZE = 64
-#: Most transactions that wait; more are refused as `store_busy`.
+#: Maximum number of queued transactions; more are refused as `store_busy`.
 MAX_QUEUE_LENGTH = 512
 
-#: Seconds that a transaction waits at most until it is sent.
+#: Maximum time in seconds for which a transaction is queued before it is sent.
 MAX_WAIT_S = 2.0
 
-#: Why a transaction was refused before it was sent.
+#: Reason of a transaction that is refused before it is sent.
 STORE_BUSY = "store_busy"
 
 
 @dataclasses.dataclass(slots=True)
 class QueuedTransaction:
-    """A transaction in the queue, and where its result goes."""
+    """A queued transaction and the receiver of its result."""
 
     transaction: table.Transaction
     answer: gevent.event.AsyncResult
-    #: Monotonic time past which it is refused instead of sent.
+    #: Monotonic time after which it is refused instead of sent.
     deadline: float
 
     def keys(self) -> set[str]:
-        """Return all keys that the transaction touches."""
+        """Return all keys that the transaction checks or writes."""
         checked = {check.key for check in self.transaction.checks}
         return checked | {write.key for write in self.transaction.writes}
 
@@ -78,7 +78,7 @@
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[list[table.Row], errors.Unavailable]:
-        """Return at most `limit` rows under `prefix`, by key, past key `after`."""
+        """Return up to `limit` rows under `prefix` with keys past `after`, by key."""
         return self.rows.scan(prefix, after, limit)
 
     def commit(
@@ -94,19 +94,19 @@
         return waiting.answer.get()
 
     def run(self) -> t.NoReturn:
-        """Commit group after group."""
+        """Commit queued transactions in groups, for ever."""
         while True:
             self.not_empty.wait()
             gevent.sleep(self.window)
             try:
                 self.commit_group()
             except Exception:
-                # The group was told `Uncertain`; the next one must still go.
+                # Callers of this group got `Uncertain`; later groups must be committed.
                 self.counters.count("platform.group_commit_failed")
                 log.exception("group commit failed")
 
     def commit_group(self) -> None:
-        """Commit the transactions that wait, or as many as one group holds."""
+        """Commit the queued transactions, up to the size of one group."""
         self._refuse_expired()
         group = self._next_group()
         if not self.queue:
@@ -116,19 +116,19 @@
         try:
             self._commit(group)
         finally:
-            # Whatever a broken adapter raises, nobody may wait for ever; a
-            # write whose fate nobody told is uncertain.
-            lost = result.Err(errors.Uncertain("group_commit_failed"))
+            # Even if the adapter raises, no caller may wait for ever; a write with
+            # an unknown outcome is uncertain.
+            uncertain = result.Err(errors.Uncertain("group_commit_failed"))
             for waiting in group:
                 if not waiting.answer.ready():
-                    waiting.answer.set(lost)
+                    waiting.answer.set(uncertain)
 
     def _refuse_busy(self) -> result.Result[int, errors.CommitError]:
         self.counters.count("platform.refused.store_busy")
         return result.Err(errors.Unavailable(STORE_BUSY))
 
     def _refuse_expired(self) -> None:
-        """Refuse what has waited too long; it was not sent, so it has no effect."""
+        """Refuse expired transactions; they were not sent, so they have no effect."""
         now = time.monotonic()
         for waiting in self.queue:
             if waiting.deadline <= now:
@@ -136,41 +136,41 @@
         self.queue = [w for w in self.queue if w.deadline > now]
 
     def _next_group(self) -> list[QueuedTransaction]:
-        """Take transactions off the queue, no two of which share a key."""
+        """Remove the next group from the queue; no two transactions share a key."""
         group: list[QueuedTransaction] = []
         touched: set[str] = set()
-        kept: list[QueuedTransaction] = []
+        remaining: list[QueuedTransaction] = []
         for waiting in self.queue:
             keys = waiting.keys()
             if len(group) < MAX_GROUP_SIZE and not keys & touched:
                 group.append(waiting)
             else:
-                kept.append(waiting)
-            # A later write of a row stays behind an earlier one that is kept.
+                remaining.append(waiting)
+            # Writes of a row keep their order if an earlier one remains in the queue.
             touched |= keys
-        self.queue = kept
+        self.queue = remaining
         return group
 
     def _commit(self, group: list[QueuedTransaction]) -> None:
-        """Commit `group`; a conflict fails its culprit alone, the rest goes on."""
+        """Commit `group`; a conflict fails those with its key, the rest is retried."""
         while group:
             committed = self.rows.commit(merge(group))
             self.counters.count("platform.group_commits")
             self.counters.count("platform.grouped_transactions", len(group))
-            culprits = group
+            finished = group
             if isinstance(committed, result.Err) and isinstance(
                 committed.err_value, errors.Conflict
             ):
                 key = committed.err_value.key
-                culprits = [w for w in group if key in w.keys()] or group
+                finished = [w for w in group if key in w.keys()] or group
                 self.counters.count("platform.retry.group_conflict")
-            for waiting in culprits:
+            for waiting in finished:
                 waiting.answer.set(committed)
-            group = [w for w in group if w not in culprits]
+            group = [w for w in group if w not in finished]
 
 
 def merge(group: t.Sequence[QueuedTransaction]) -> table.Transaction:
-    """Return one transaction with all that `group` checks and writes."""
+    """Return one transaction with all checks and writes of `group`."""
     return table.Transaction(
         tuple(check for w in group for check in w.transaction.checks),
         tuple(write for w in group for write in w.transaction.writes),
--- a/src/mangosail/platform/caller.py
+++ b/src/mangosail/platform/caller.py
@@ -1,7 +1,7 @@
-"""HTTP requests on pooled connections, each with time limits of its own.
+"""HTTP requests on pooled connections, each with its own time limits.
 
-Unless the sender says otherwise, an answer that has begun is read to its end for as
-long as it goes on arriving: the limits are on silence.
+Unless the sender says otherwise, an answer that has begun is read to its end as long
+as data keeps arriving: the limits apply to silence.
 """
 
 import collections
@@ -16,39 +16,39 @@
 
 from mangosail.platform import errors
 
-#: Seconds after which a call is given up unless it says otherwise.
+#: Default time limit, in seconds, for an answer to begin.
 CALL_TIMEOUT_S = 1.0
-#: Seconds in which a connection must be made: several times the way between data
-#: centres, and one retransmission of a lost opening packet.
+#: Timeout for connecting, in seconds: several trips between data centres, and one
+#: retransmission of a lost SYN packet.
 CONNECT_TIMEOUT_S = 1.2
-#: Seconds that a connection may live at most between two bytes; beyond all limits.
+#: Maximum time in seconds between two bytes on a connection; above all other limits.
 NETWORK_TIMEOUT_S = 40.0
-#: Bytes of an answer that are read at a time.
+#: Bytes of an answer to read at a time.
 CHUNK_BYTES = 4096
-#: Seconds within which the next piece of an answer must come: as long as the store may
-#: take to begin one.
+#: Timeout in seconds for the next chunk of an answer: as long as the store may take to
+#: begin one.
 CHUNK_TIMEOUT_S = 1.3
-#: Seconds after which an answer is given up although it goes on arriving: twenty times
-#: what the largest answer of the store, 1 MB, takes on the narrowest link.
+#: Timeout in seconds for a whole answer even if data keeps arriving: twenty times what
+#: the largest answer of the store, 1 MB, takes on the slowest link.
 ANSWER_TIMEOUT_S = 40.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and body of an answer that came whole."""
+    """Status and body of a complete answer."""
 
     status: int
     body: bytes
-    #: The version that the answer says its content has; empty if it says none.
+    #: Version of the content, from the `ETag` header; empty if there is none.
     etag: str = ""
 
 
-#: Called for each piece of a successful answer.
+#: Called for each chunk of a successful answer.
 OnData = cabc.Callable[[], None]
 
 OK = 200
 
-#: Why a call has no answer: `Unavailable` if it certainly was not sent.
+#: Why a call got no answer: `Unavailable` if it certainly was not sent.
 CallError = errors.Unavailable | errors.Uncertain
 
 
@@ -77,11 +77,11 @@
         on_data: OnData | None = None,
         max_bytes: int | None = None,
     ) -> result.Result[Reply, CallError]:
-        """Send one request; an Err means that no whole answer came.
+        """Send one request; an Err means that no complete answer came.
 
-        Within `timeout` seconds the answer must have begun, and within `longest` it
-        must be whole. `heard` is called for each piece of a successful answer. One that
-        says that it has more than `most` bytes is not read.
+        The answer must begin within `timeout` seconds and be complete within
+        `total_timeout`. `on_data` is called for each chunk of a successful answer. An
+        answer that declares more than `max_bytes` bytes is not read.
         """
         client = self.client
         content = bytearray()
@@ -104,7 +104,7 @@
             self._replace_client(client)
             return result.Err(errors.Unavailable(str(exc)))
         except gevent.GreenletExit:
-            # Given up by its sender: what comes on the connection is not for others.
+            # Cancelled: an answer that still arrives must not reach another call.
             self._replace_client(client)
             raise
         except (OSError, http_response.HTTPParseError, gevent.Timeout) as exc:
@@ -112,20 +112,20 @@
             return result.Err(errors.Uncertain(error_reason(exc, len(content))))
 
     def limit_connections(self, concurrency: int) -> None:
-        """Hold no more than `concurrency` connections from now on.
+        """Limit the pool to `concurrency` connections from now on.
 
-        Those that are open end with the calls that are on them.
+        Open connections are closed when their current calls end.
         """
         if concurrency < self.concurrency:
             self.concurrency = concurrency
             self._replace_client(self.client)
 
     def _replace_client(self, client: geventhttpclient.HTTPClient) -> None:
-        """Leave the connections of `client` to the calls that are on them.
+        """Replace the pool `client`, whose connections only finish their calls.
 
-        One answer that never came says that its other connections may have
-        lost their peer too; new ones are cheap. The old pool is not closed: a
-        closed one fails the calls that wait for a connection of it.
+        If one answer never came, the pool's other connections may have lost their peer
+        as well, and new ones are cheap. The old pool is not closed, as that would fail
+        the calls that wait for one of its connections.
         """
         if self.client is client:
             self.client = self._connect()
@@ -144,7 +144,7 @@
 
 
 def ignore_data() -> None:
-    """Take no notice of a piece."""
+    """Ignore a chunk of an answer."""
 
 
 def receive_rest(
@@ -153,34 +153,34 @@
     timeout: float,
     on_data: OnData,
 ) -> None:
-    """Add the rest of an answer to `content`, each piece within `timeout` seconds.
+    """Append the rest of an answer to `content`; each chunk has `timeout` seconds.
 
-    With a limit on the whole answer a large one never arrived on a narrow link: it was
-    given up, asked for again from its beginning, and what was thrown away filled the
-    link. Silence still ends it as soon.
+    With a time limit on the whole answer, a large one never arrived over a slow link:
+    it was given up and requested again from the start, and the discarded data filled
+    the link. Silence still ends the call as soon.
     """
     while not response.message_complete:
         with gevent.Timeout(timeout):
             content += response.read(CHUNK_BYTES)
         on_data()
-    # What was received with the last piece; nothing is waited for.
+    # Data that was received with the last chunk; this does not block.
     content += response.read()
 
 
 def error_reason(exc: BaseException, received: int) -> str:
-    """Return why a call has no answer, and how many bytes of one had come.
+    """Return why a call got no answer, and how many bytes of one had arrived.
 
-    A slow link and a silent peer look alike without that number.
+    Without that number, a slow link looks like a silent peer.
     """
     return f"{exc or type(exc).__name__}, after {received} bytes of the answer"
 
 
 class Callers:
-    """One caller for each name; with too many, the one unused for longest is dropped.
+    """One caller per name; beyond `max_callers`, drops the least recently used one.
 
-    All of them together hold `budget` connections at most: the more callers there are,
-    the fewer each has, though never none. With a fixed number for each, the leader of
-    1,002 workers ran out of descriptors, and orders failed at random.
+    All callers together hold at most `budget` connections: the more callers there are,
+    the fewer each has, but at least one. With a fixed number for each, the leader of
+    1,002 workers ran out of file descriptors, and orders failed at random.
     """
 
     def __init__(
@@ -192,20 +192,20 @@
         self.callers: collections.OrderedDict[str, Caller] = collections.OrderedDict()
 
     def get(self, name: str, address: str) -> Caller:
-        """Return the caller called `name`, made for `address` when first asked for."""
-        kept = self.callers.get(name)
-        if kept is None:
-            kept = self.callers[name] = Caller(address, self.concurrency)
+        """Return the caller of `name`, creating it for `address` if necessary."""
+        caller = self.callers.get(name)
+        if caller is None:
+            caller = self.callers[name] = Caller(address, self.concurrency)
             if len(self.callers) > self.max_callers:
                 self.callers.popitem(last=False)
-        # In the order of making, a worker that is called all the time went first: with
-        # more workers than are kept each call opened a connection.
+        # Dropping callers by age also dropped those in constant use: with more workers
+        # than callers, each call opened a connection.
         self.callers.move_to_end(name)
-        kept.limit_connections(self.connections_per_caller())
-        return kept
+        caller.limit_connections(self.connections_per_caller())
+        return caller
 
     def connections_per_caller(self) -> int:
-        """Return how many connections each caller may have now."""
+        """Return how many connections each caller may currently have."""
         if self.budget is None or not self.callers:
             return self.concurrency
         return max(min(self.concurrency, self.budget // len(self.callers)), 1)
--- a/src/mangosail/platform/decoding.py
+++ b/src/mangosail/platform/decoding.py
@@ -1,4 +1,4 @@
-"""What callers, workers and the operator wrote, as messages of the slices."""
+"""Decodes callers' jobs and the operator's configuration."""
 
 import result
 
@@ -7,19 +7,19 @@
 from mangosail.platform import wire
 from mangosail.scheduler import messages, sizes
 
-#: Bytes of a job's text at most.
+#: Maximum size of a job's spec.
 MAX_SPEC_BYTES = 4000
-#: Tasks of one job at most, over all its occurrences; a bound on memory, far above
-#: what callers hand in.
+#: Maximum number of tasks of one job, over all its occurrences; bounds memory, and is
+#: far above what callers submit.
 MAX_TASKS = 5000
-#: Digits of a job's id.
+#: Number of digits of a job id.
 ID_DIGITS = 16
 
 
 def decode_job(
     body: bytes, job_id: str, queue: messages.Queue, wall: float
 ) -> result.Result[messages.Job, errors.Invalid]:
-    """Return the job that a caller hands in, or what is wrong with it."""
+    """Return the job that a caller submits, or what is wrong with it."""
     if len(job_id) != ID_DIGITS or not all(
         c in "0123456789abcdefABCDEF" for c in job_id
     ):
@@ -49,7 +49,7 @@
 
 
 def find_fault(body: wire.JobBody) -> str:
-    """Return the first fault of a job, and where it is; empty if there is none."""
+    """Return the first fault of a job and its location; empty if there is none."""
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
         return f"spec: more than {MAX_SPEC_BYTES} bytes"
     if not body.steps:
@@ -80,7 +80,7 @@
 
 
 def to_step(step: wire.JobStep) -> messages.Step:
-    """Return a step in the units of the slices."""
+    """Convert a step to the units of the scheduler."""
     return messages.Step(
         count=step.count,
         need=resources.Resources(
@@ -106,7 +106,7 @@
 
 
 def decode_catalog(text: str) -> messages.Catalog | None:
-    """Return the operator's configuration; None if it can't be read."""
+    """Return the operator's configuration; None if it cannot be decoded."""
     try:
         found = codec.from_json(text, wire.Config, strict=False)
     except codec.DecodeError:
@@ -127,7 +127,7 @@
 
 
 def to_queue(route: wire.Route) -> messages.Queue:
-    """Return a queue from the route that leads to it."""
+    """Convert a route to the queue that it leads to."""
     return messages.Queue(
         name=route.name,
         host=route.host,
--- a/src/mangosail/platform/deployment.py
+++ b/src/mangosail/platform/deployment.py
@@ -1,82 +1,82 @@
-"""The settings that the platform gives a process, and when they are wrong."""
+"""Settings that the platform gives a process, and their validation."""
 
 import dataclasses
 import pathlib
 
 from mangosail import codec, errors
 
-#: Names the file with the settings of this process.
+#: Environment variable with the path of this process's settings file.
 SETTINGS_VARIABLE = "MANGOSAIL_SETTINGS"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where this process listens, as IP number and port."""
+    """Addresses on which this process listens, as IP address and port."""
 
-    #: Callers, by way of the platform's balancer.
+    #: For callers, behind the platform's load balancer.
     front: str = ""
-    #: The balancer's checks.
+    #: For the load balancer's readiness checks.
     ready: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """Terms of the platform that the scheduler has to keep to."""
+    """Time limits of the platform that the scheduler must observe."""
 
-    #: Seconds for which a job's last state can be asked for.
+    #: Seconds for which the final state of a job can be queried.
     status_s: float = 120
-    #: Seconds between the notice to stop and the kill.
+    #: Seconds between the stop signal and the kill.
     grace_s: float = 6
-    #: Longest lease of a worker, in milliseconds.
+    #: Maximum duration of a worker's lease, in milliseconds.
     hold_max_ms: float = 6000
-    #: Milliseconds within which a change of the configuration must be in force.
+    #: Milliseconds within which a configuration change must take effect.
     config_apply_ms: float = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What the machine gives this process."""
+    """Resources that the machine gives this process."""
 
-    #: Share of each core, and how many cores there are.
+    #: Usable share of each core, and the number of cores.
     cpu_share: float = 1.0
     cores: float = 1.0
-    #: Descriptors that the process may hold; some are kept for files.
+    #: Maximum number of file descriptors; some are reserved for files.
     max_fds: int = 4096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Where the platform's store is."""
+    """Location of the platform's store."""
 
     address: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """The settings of a process on the platform, as the platform spells them."""
+    """Settings of a process on the platform, under the platform's names."""
 
     node_name: str
     zone: str
     ip: str
     listen_addrs: Addresses
     platform: StoreSettings
-    #: First and last port that instances may use among themselves.
+    #: First and last port for traffic between instances.
     internal_ports: tuple[int, ...] = ()
     bounds: Bounds = Bounds()
     limits: Limits = Limits()
-    #: Address of the service that says which workers may run a step, if there is one.
+    #: Address of the service that tells which workers may run a step, if any.
     advice: str | None = None
 
     @property
     def peer_address(self) -> str:
-        """Return where this process answers other instances; empty if nowhere."""
+        """Return the address that serves other instances; empty if there is none."""
         if not self.internal_ports:
             return ""
         return f"{self.ip}:{self.internal_ports[0]}"
 
 
 def read(path: str) -> Deployment:
-    """Return the settings in a file, or raise `errors.ConfigurationError`."""
+    """Read the settings file at `path`, or raise `errors.ConfigurationError`."""
     try:
         text = pathlib.Path(path).read_text()
     except OSError as exc:
--- a/src/mangosail/platform/entries.py
+++ b/src/mangosail/platform/entries.py
@@ -1,8 +1,8 @@
-"""What workers write about themselves, as messages of the scheduler.
+"""Decodes the entries in which workers describe themselves.
 
-Anything may stand in such a row: a writer of another version or kind may have put it
-there. What is not an entry as the platform describes it names no worker, and a wrong
-one must neither end its reader nor lead orders to an address that nobody serves.
+Such a row may hold anything, as a writer of another version or kind may have stored it.
+A row that is not an entry as the platform defines it stands for no worker. An invalid
+one must neither stop its reader nor direct orders to an address that nobody serves.
 """
 
 import ipaddress
@@ -14,15 +14,15 @@
 from mangosail.platform import wire
 from mangosail.scheduler import errors, messages
 
-#: States that an entry may name.
+#: Valid states of an entry.
 READY = "ready"
 DRAINING = "draining"
-#: Most that one worker can have: cores, gigabytes, accelerators. Far above any machine;
-#: a slip in the unit would otherwise draw all work to one worker, which refuses it.
+#: Maximum capacity of one worker, far above any machine. Without a limit, a mistake in
+#: the unit would attract all work to one worker, which refuses it.
 MAX_CORES = 4096.0
 MAX_MEMORY_GB = 65536.0
 MAX_ACCELERATORS = 1024
-#: Characters of a worker's id at most, which the platform allows a key.
+#: Maximum length of a worker's id, which is the platform's limit for keys.
 MAX_NAME_LENGTH = 200
 MAX_PORT = 65535
 
@@ -82,13 +82,13 @@
 
 
 def is_valid_address(text: str) -> bool:
-    """Tell whether a text is an IP address with a port, as `10.128.0.9:8080`."""
+    """Tell whether a text is an IPv4 address with a port, as `10.128.0.9:8080`."""
     host, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdigit():
         return False
     try:
         ipaddress.IPv4Address(host)
-        # Thousands of digits are no number to `int` either.
+        # `int` raises the same error for thousands of digits.
         return 0 < int(port) <= MAX_PORT
     except ValueError:
         return False
--- a/src/mangosail/platform/errors.py
+++ b/src/mangosail/platform/errors.py
@@ -1,11 +1,11 @@
-"""What can go wrong when the platform is asked."""
+"""Errors of calls to the platform."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A checked row had another version, so nothing of the transaction holds."""
+    """A checked row had another version, so the transaction had no effect."""
 
     #: Key of a row whose version differed.
     key: str
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform did not take the request; it certainly had no effect."""
+    """The platform did not accept the request, which certainly had no effect."""
 
     reason: str
 
@@ -27,8 +27,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TooLong(Uncertain):
-    """The answer says that it is longer than its receiver will read."""
+    """The declared length of the answer exceeds the limit of its receiver."""
 
 
-#: Everything that a commit can fail with.
+#: All errors of a commit.
 CommitError = Conflict | Unavailable | Uncertain
--- a/src/mangosail/platform/http.py
+++ b/src/mangosail/platform/http.py
@@ -1,6 +1,6 @@
-"""The platform over HTTP: the one module that knows how the platform speaks.
+"""The platform over HTTP: the only module that knows the platform's protocol.
 
-Another platform needs another adapter with these three classes and no change
+Another platform needs another adapter with these three classes, and no change
 elsewhere.
 """
 
@@ -22,7 +22,7 @@
 def unavailable(
     answer: result.Result[http_caller.Reply, http_caller.CallError],
 ) -> errors.Unavailable:
-    """Return why a read was not answered."""
+    """Return why a read failed."""
     if isinstance(answer, result.Err):
         return errors.Unavailable(answer.err_value.reason)
     return errors.Unavailable(f"status {answer.ok_value.status}")
@@ -44,7 +44,7 @@
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[list[table.Row], errors.Unavailable]:
-        """Return at most `limit` rows under `prefix`, by key, past key `after`."""
+        """Return up to `limit` rows under `prefix` with keys past `after`, by key."""
         query = {"prefix": prefix, "after": after, "limit": limit}
         return self._rows("/table/scan", query)
 
@@ -64,7 +64,7 @@
             return result.Err(errors.Conflict(key))
         if reply.status == UNAVAILABLE:
             return result.Err(errors.Unavailable(f"status {reply.status}"))
-        # Any other status may come from something on the way that gave up.
+        # Any other status may come from a proxy that gave up on the request.
         return result.Err(errors.Uncertain(f"status {reply.status}"))
 
     def _rows(
@@ -105,8 +105,8 @@
 class HttpInventory:
     """The list of instances and workers over HTTP.
 
-    The list is long and seldom changes, so only a changed one is sent, where
-    the platform tells its version in an ETag.
+    The list is long and seldom changes. If the platform sends its version as an ETag,
+    the list is transferred only after a change.
     """
 
     def __init__(self, caller: http_caller.Caller) -> None:
@@ -115,7 +115,7 @@
         self.listing = inventory.Listing()
 
     def fetch(self) -> result.Result[inventory.Listing, errors.Unavailable]:
-        """Return the present list."""
+        """Return the current list."""
         known = {"If-None-Match": self.etag} if self.etag else {}
         answer = self.caller.call("GET", "/inventory", headers=known)
         if isinstance(answer, result.Err):
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs over HTTP, and the balancer's checks."""
+"""Handles callers' requests about jobs, and the load balancer's checks, over HTTP."""
 
 import collections.abc as cabc
 import typing as t
@@ -18,23 +18,23 @@
 
 log = logbook.Logger("ingress")
 
-#: Seconds in which a request's body must have come.
+#: Timeout for receiving the body of a request, in seconds.
 BODY_TIMEOUT_S = 3.0
-#: Seconds after which a caller should come back to an instance without a catalog.
+#: Seconds after which a caller should retry at an instance without a current catalog.
 RETRY_AFTER_S = 0.5
 
-#: Seconds that may go into reading the newest catalog for a peer: half of what the peer
-#: waits.
+#: Timeout in seconds for reading the newest catalog for a request from a peer: half of
+#: what the peer waits.
 PEER_REFRESH_TIMEOUT_S = relaying.ANSWER_TIMEOUT_S / 2
-#: Seconds after its arrival at which a request's caller is gone.
+#: Seconds after which the caller of a request has given up.
 CALLER_TIMEOUT_S = 3.0
 
-#: Answers a request about a job of a queue, whose id may be empty.
+#: Handles a request about a job of a queue; the job id may be empty.
 Method = cabc.Callable[[falcon.Request, falcon.Response, messages.Queue, str], None]
 
 
 class Ingress:
-    """Answers callers; `app` is its WSGI application."""
+    """Handles requests of callers; `app` is its WSGI application."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
     ) -> None:
         self.catalog = catalog
         self.jobs = jobs
-        #: Takes what can't be done here; None for what came from a peer already.
+        #: Forwards what cannot be done here; None for requests that came from a peer.
         self.relay = relay
-        #: Seconds that may go into reading the newest catalog. A peer takes silence for
-        #: an open outcome, and asks this instance last from then on.
+        #: Timeout in seconds for reading the newest catalog. A peer that gets no answer
+        #: in time treats the outcome as unknown, and then asks this instance last.
         self.refresh_timeout = (
             catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TIMEOUT_S
         )
@@ -65,7 +65,7 @@
         self.app.add_error_handler(Exception, self.on_exception)
 
     def dispatch(self, req: falcon.Request, resp: falcon.Response, **_: t.Any) -> None:
-        """Answer a request, by way of a peer if the store is out of reach."""
+        """Answer a request, through a peer if the store is unreachable."""
         req.context.deadline = self.clock.elapsed() + CALLER_TIMEOUT_S
         self._answer(req, resp)
         if self.relay is None:
@@ -76,7 +76,7 @@
     def _forward(
         self, relay: relaying.Relay, req: falcon.Request, resp: falcon.Response
     ) -> None:
-        """Put a peer's answer in the place of the refusal, if a peer has one."""
+        """Replace the refusal by a peer's answer, if a peer gives one."""
         body = self._read_body(req)
         if isinstance(body, result.Err):
             resp.delete_header("Retry-After")
@@ -109,18 +109,19 @@
             headers.set_retry_after(resp, answer.refusal.retry_after)
 
     def _may_be_behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
-        """Tell whether a peer may have answered by a newer configuration.
+        """Tell whether a peer may have answered from a newer configuration.
 
-        In doubt after each peer's answer, an instance would pass callers on for ever
-        although its store is back: they come more often than it can read anew. By the
-        peer's version or a newer one, nothing that the peer said is taken back.
+        If each peer's answer invalidated the catalog, an instance would forward callers
+        for ever after its store is back, as they arrive more often than it can read the
+        catalog. With the peer's version or a newer one, it does not contradict what the
+        peer answered.
         """
         if isinstance(answer, errors.Undecided) or not answer.version:
             return True
         return answer.version > self.catalog.version
 
     def _answer(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Find the queue that a request is about, and answer it."""
+        """Find the queue of a request, and answer it."""
         if self.catalog.current() is None:
             self.refuse(resp, "no_catalog", RETRY_AFTER_S)
             return
@@ -153,7 +154,7 @@
         queue = self.catalog.find(host, req.path)
         if queue is not None:
             return result.Ok(queue)
-        # It may have been added just now: only a fresh catalog says that it is not.
+        # The queue may be new: only a fresh catalog shows that it does not exist.
         if not self.catalog.refresh(self.refresh_timeout):
             return result.Err(errors.Refused("catalog_stale", RETRY_AFTER_S))
         return result.Ok(self.catalog.find(host, req.path))
@@ -185,7 +186,7 @@
         queue: messages.Queue,
         job_id: str,
     ) -> None:
-        """Tell a job's state, or how many jobs of a queue wait."""
+        """Return a job's state, or the number of waiting jobs of a queue."""
         if not job_id:
             pending = self.jobs.pending(queue.name)
             if isinstance(pending, result.Err):
@@ -212,18 +213,18 @@
             self._respond_error(resp, done.err_value)
 
     def _read_body(self, req: falcon.Request) -> result.Result[bytes, errors.Invalid]:
-        """Return the body, which is read once, however often it is asked for."""
+        """Return the body, which is read once and then cached."""
         if "body" in req.context:
             return result.Ok(req.context.body)
         catalog = self.catalog.current()
         limits = catalog.limits if catalog else messages.Limits()
-        most = limits.body_bytes
-        if (req.content_length or 0) > most:
-            return result.Err(errors.Invalid(f"body: more than {most} bytes"))
+        max_bytes = limits.body_bytes
+        if (req.content_length or 0) > max_bytes:
+            return result.Err(errors.Invalid(f"body: more than {max_bytes} bytes"))
         with gevent.Timeout(BODY_TIMEOUT_S, False):
-            data = req.bounded_stream.read(most + 1)
-            if len(data) > most:
-                return result.Err(errors.Invalid(f"body: more than {most} bytes"))
+            data = req.bounded_stream.read(max_bytes + 1)
+            if len(data) > max_bytes:
+                return result.Err(errors.Invalid(f"body: more than {max_bytes} bytes"))
             req.context.body = data
             return result.Ok(data)
         return result.Err(errors.Invalid("body: did not come in time"))
@@ -241,7 +242,7 @@
             resp.status = falcon.HTTP_GONE
             resp.text = codec.to_json({"title": "unknown_job"})
         elif isinstance(error, errors.Undecided):
-            # Neither a success nor a refusal would be true: it may yet be stored.
+            # Neither success nor refusal would be correct: it may still be stored.
             self.counters.count("ingress.undecided")
             resp.status = falcon.HTTP_GATEWAY_TIMEOUT
             resp.text = codec.to_json({"title": "undecided"})
@@ -249,7 +250,7 @@
             self.refuse(resp, error.reason, error.retry_after)
 
     def refuse(self, resp: falcon.Response, reason: str, retry_after: float) -> None:
-        """Say that nothing was done, and when to come back."""
+        """Report that nothing was done, and when to retry."""
         self.counters.count(f"ingress.refused.{reason}")
         resp.context.reason = reason
         resp.context.away = reason in errors.LOCAL_REASONS
@@ -260,7 +261,7 @@
     def on_exception(
         self, req: falcon.Request, resp: falcon.Response, ex: Exception, params: t.Any
     ) -> None:
-        """Answer a fault of the program; whether anything was stored is not known."""
+        """Answer an internal error; whether anything was stored is unknown."""
         if isinstance(ex, falcon.HTTPError | falcon.HTTPStatus):
             raise ex
         self.counters.count("ingress.internal_error")
@@ -268,17 +269,17 @@
 
 
 class Readiness:
-    """Answers the balancer's checks; `app` is its WSGI application."""
+    """Answers the load balancer's checks; `app` is its WSGI application."""
 
     def __init__(self, catalog: catalogs.Catalogs) -> None:
         self.catalog = catalog
-        #: True once a planned stop has begun.
+        #: True once a planned shutdown has begun.
         self.draining = False
         self.app: t.Any = falcon.App()
         self.app.add_sink(self.check, prefix="/")
 
     def ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Tell whether this instance should get requests."""
         if self.draining or self.catalog.current() is None:
             return False
         return not self.catalog.stale()
--- a/src/mangosail/platform/inventory.py
+++ b/src/mangosail/platform/inventory.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving instances and workers."""
+"""The platform's list of instances and workers, which lags behind."""
 
 import dataclasses
 import enum
@@ -11,7 +11,7 @@
 
 
 class Standing(enum.StrEnum):
-    """What the platform says of a machine."""
+    """State of a machine in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryInstance:
-    """An entry instance of mangosail: `peer_address` is IP number and port."""
+    """An entry instance of mangosail; `peer_address` is IP address and port."""
 
     name: str
     data_centre: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worker:
-    """A worker: where its target listens and how much it can carry."""
+    """A worker: the address of its target, and its capacity."""
 
     name: str
     data_centre: str
@@ -42,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """All that the platform lists; it lags behind by seconds."""
+    """All instances and workers that the platform lists; lags behind by seconds."""
 
     instances: tuple[EntryInstance, ...] = ()
     workers: tuple[Worker, ...] = ()
 
 
 class Inventory(t.Protocol):
-    """The platform's list."""
+    """Access to the platform's list."""
 
     def fetch(self) -> result.Result[Listing, errors.Unavailable]:
-        """Return the present list."""
+        """Return the current list."""
--- a/src/mangosail/platform/listed.py
+++ b/src/mangosail/platform/listed.py
@@ -1,4 +1,4 @@
-"""The platform's list as it was last read."""
+"""Cache of the platform's list."""
 
 import result
 
@@ -7,14 +7,14 @@
 
 
 class Listed:
-    """The newest list, which is kept while the platform can't be reached."""
+    """The newest list, which is kept while the platform is unreachable."""
 
     def __init__(self, source: inventory.Inventory) -> None:
         self.source = source
         self.listing = inventory.Listing()
 
     def refresh(self) -> bool:
-        """Read the list and tell whether it could be read."""
+        """Read the list, and tell whether that succeeded."""
         found = self.source.fetch()
         if isinstance(found, result.Err):
             return False
@@ -22,11 +22,11 @@
         return True
 
     def capacities(self) -> list[resources.Resources]:
-        """Return what each listed worker can carry, of all data centres."""
+        """Return the capacities of the listed workers of all data centres."""
         return [worker.capacity for worker in self.listing.workers]
 
     def live(self, data_centre: str) -> list[inventory.Worker]:
-        """Return the workers of a data centre that are there to stay."""
+        """Return the live workers of a data centre."""
         return [
             worker
             for worker in self.listing.workers
@@ -35,7 +35,7 @@
         ]
 
     def leaving(self) -> list[inventory.Worker]:
-        """Return the workers that leave or have left."""
+        """Return the workers that are leaving or gone."""
         live = inventory.Standing.LIVE
         return [w for w in self.listing.workers if w.standing is not live]
 
--- a/src/mangosail/platform/peering.py
+++ b/src/mangosail/platform/peering.py
@@ -1,4 +1,4 @@
-"""Requests passed on between instances, over HTTP on a port of their own."""
+"""Forwards requests between instances, over HTTP on a separate port."""
 
 import dataclasses
 
@@ -10,25 +10,25 @@
 from mangosail.platform import caller as http_caller
 from mangosail.platform import errors
 
-#: Connections to one peer at a time.
+#: Connections per peer.
 CONNECTIONS = 8
-#: Peers whose connections are kept at most.
+#: Maximum number of peers whose connections are kept.
 MAX_CALLERS = 64
-#: Header with the version of the configuration that a peer must have at least. The
-#: `ETag` of its answer is the version by which it answered.
+#: Header with the minimum version of the configuration that a peer must have. The
+#: `ETag` of its answer is the version that it used.
 LEAST_VERSION = "Mangosail-Least-Version"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The content of a refusal."""
+    """Body of a refusal."""
 
     title: str
     retry_after: float
 
 
 class HttpPeers:
-    """Sends requests to peers; its `send` is a `relaying.Send`."""
+    """Sends requests to peers; `send` implements `relaying.Send`."""
 
     def __init__(self) -> None:
         self.callers = http_caller.Callers(CONNECTIONS, MAX_CALLERS)
@@ -36,7 +36,7 @@
     def send(
         self, address: str, request: relaying.Request
     ) -> result.Result[relaying.Answer, relaying.NotSent | relaying.Unanswered]:
-        """Send a request as its caller sent it, and return the peer's answer."""
+        """Send a request unchanged, and return the peer's answer."""
         headers = {
             "Host": request.host,
             "Content-Type": "application/json",
@@ -58,14 +58,14 @@
 
 
 def answer_of(reply: http_caller.Reply) -> relaying.Answer:
-    """Return what a peer replied."""
+    """Convert the reply of a peer."""
     text = reply.body.decode(errors="replace")
     refusal = decode_refusal(text) if reply.status == relaying.REFUSED_STATUS else None
     return relaying.Answer(reply.status, text, parse_version(reply.etag), refusal)
 
 
 def decode_refusal(text: str) -> intake_errors.Refused | None:
-    """Return what the text of a refusal says; None if it can't be read."""
+    """Decode the body of a refusal; None if that fails."""
     try:
         refusal = codec.from_json(text, Refusal)
     except codec.DecodeError:
@@ -74,6 +74,6 @@
 
 
 def parse_version(text: str | None) -> int:
-    """Return a version in a header; 0 if there is none."""
+    """Return the version in a header; 0 if there is none."""
     digits = (text or "").strip('"')
     return int(digits) if digits.isdigit() else 0
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -1,4 +1,4 @@
-"""A process on the platform: puts the slices together and serves until stopped."""
+"""A process on the platform: connects the components and serves until stopped."""
 
 import os
 import random
@@ -26,19 +26,19 @@
 
 log = logbook.Logger("process")
 
-#: Row with the operator's configuration, rows that close a data centre each, and rows
-#: of the workers.
+#: Key of the operator's configuration, and prefixes of the rows that each close a data
+#: centre and of the workers' entries.
 CONFIG_KEY = "op//config"
 CLOSED_PREFIX = "op//evacuate/"
 WORKERS_PREFIX = "servers//"
-#: Port of the metrics address; deploy/system.toml names it too.
+#: Port of the metrics endpoint; also set in deploy/system.toml.
 METRICS_PORT = 9464
-#: Seconds that callers are still served at a planned stop while the balancer finds
-#: out: two of its checks, and a little more.
+#: Seconds for which a planned shutdown still serves callers until the load balancer
+#: notices: two of its checks, and a margin.
 NOT_READY_PERIOD_S = 2.3
-#: Seconds before the kill by which a planned stop must be over.
+#: Seconds before the kill by which a planned shutdown must be complete.
 STOP_MARGIN_S = 0.8
-#: Seconds between looks at what is in flight.
+#: Interval in seconds for checking for requests in flight.
 POLL_INTERVAL_S = 0.02
 
 
@@ -76,7 +76,7 @@
         self.ingress = ingress.Ingress(
             self.catalog, self.jobs, self.clock, self.counters, self.relay
         )
-        #: Answers what peers pass on.
+        #: Handles requests that peers forward.
         self.peer_ingress = ingress.Ingress(
             self.catalog, self.jobs, self.clock, self.counters
         )
@@ -126,7 +126,7 @@
         log.info("stopped")
 
     def _lead_forever(self) -> None:
-        """Stand by for the lease, and schedule whenever it is held."""
+        """Compete for the lease, and schedule whenever it is held."""
         while not self.stopping:
             held = self.leadership.check()
             if held is None:
@@ -150,24 +150,24 @@
             worker_limit.max_workers(self.leadership.cores, self.workers.most),
             self.settings.bounds.hold_max_ms / 1000,
         )
-        keeping = gevent.spawn(self.leadership.release_when_slow, self.scheduler.stop)
+        monitor = gevent.spawn(self.leadership.release_when_slow, self.scheduler.stop)
         try:
             self.scheduler.run()
         except Exception:
-            # A fault here must not end the instance: another one takes over, and
-            # this one goes on to serve callers.
+            # An error here must not stop the instance: another one takes over as
+            # leader, and this one continues to serve callers.
             self.counters.count("process.scheduler_failed")
             log.exception("scheduler failed")
         finally:
-            keeping.kill(block=False)
+            monitor.kill(block=False)
             self.scheduler = None
 
     def reload(self) -> None:
-        """Say that the settings changed; what may change has no effect here."""
+        """Log the signal; settings that may change have no effect here."""
         log.info("reload")
 
     def stop(self) -> None:
-        """Begin a planned stop; later calls do nothing."""
+        """Begin a planned shutdown; later calls do nothing."""
         if self.stopping:
             return
         self.stopping = True
@@ -187,7 +187,7 @@
 
 
 def main() -> None:
-    """Run a process with the settings that the environment names."""
+    """Run a process with the settings file that the environment names."""
     path = os.environ.get(deployment.SETTINGS_VARIABLE, "")
     settings = deployment.read(path)
     handler = logs.setup(settings.node_name, settings.zone)
--- a/src/mangosail/platform/store.py
+++ b/src/mangosail/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's metadata store as a table whose changes can be followed.
+"""The platform's metadata store as a table whose changes can be watched.
 
 A key `kind/shard/rest` is the row `rest` in part `shard` of table `kind`. All keys
-of a transaction are of one shard, as the platform takes no others.
+of a transaction are in one shard, as the platform accepts no others.
 """
 
 import base64
@@ -22,48 +22,48 @@
 
 T = t.TypeVar("T")
 
-#: Seconds after which a write is given up, and then sent again on a new
-#: connection; three slow answers of the store.
+#: Timeout in seconds after which a write is sent again on a new connection: as long as
+#: three slow answers of the store.
 WRITE_TIMEOUT_S = 1.3
-#: Seconds after which a reading is given up.
+#: Timeout of a read, in seconds.
 READ_TIMEOUT_S = 1.3
-#: Connections for calls, for requests that wait for changes, and for whole shards.
+#: Connections for calls, for feeds of changes, and for reads of whole shards.
 CONNECTIONS = 16
 FEED_CONNECTIONS = 4
 BULK_CONNECTIONS = 8
-#: Bytes of an answer beside the values of its rows, which are base64: 4 for 3.
+#: Bytes of an answer besides the values of its rows, whose base64 takes 4 bytes for 3.
 ROW_OVERHEAD_BYTES = 1000
-#: Rows that one reading asks for; the platform gives no more.
+#: Rows requested per read; the platform returns no more.
 PAGE_ROWS = 500
-#: Follows every key that begins with the text before it.
+#: Appended to a prefix, sorts after every key with that prefix.
 AFTER_PREFIX = "\x7f"
 
 OK = 200
 CONFLICT = 412
 HISTORY_LOST = 410
-#: Answers that say that nothing was done.
+#: Statuses which mean that nothing was done.
 REFUSALS = frozenset({400, 403, 429, 503})
 
 
 class Store:
-    """Rows in the platform's store; implements `ports.Rows`."""
+    """Rows in the platform's store; implements `ports.WatchableTable`."""
 
     def __init__(self, address: str) -> None:
         self.caller = http_caller.Caller(address, CONNECTIONS)
-        #: Requests that wait for changes, on connections of their own.
+        #: Requests that wait for changes, on separate connections.
         self.feed_caller = http_caller.Caller(address, FEED_CONNECTIONS)
-        #: Readings of whole shards, on connections of their own. On a narrow link they
-        #: take seconds; the renewal of the lease waited for a connection meanwhile, and
-        #: another instance took it.
+        #: Reads of whole shards, on separate connections. On a slow link they take
+        #: seconds; on shared connections, the lease renewal had to wait for one, and
+        #: another instance took the lease.
         self.bulk_caller = http_caller.Caller(address, BULK_CONNECTIONS)
-        #: Reads no more shards at a time than there are connections: the time limit of
-        #: a reading runs while it waits for one.
+        #: Limits concurrent reads of shards to the number of connections, as the
+        #: timeout of a read runs while it waits for one.
         self.readers = gevent.pool.Pool(BULK_CONNECTIONS)
 
     def read(
         self, keys: t.Sequence[str]
     ) -> result.Result[dict[str, table.Row], errors.Unavailable]:
-        """Return the rows of `keys`, which are of one kind and shard, that exist."""
+        """Return the existing rows of `keys`, which are of one kind and shard."""
         kind, shard, _ = split_key(keys[0])
         names = sorted(split_key(key)[2] for key in keys)
         query = {"table": kind, "part": shard, "from": names[0]}
@@ -81,7 +81,7 @@
     def scan(
         self, prefix: str, after: str = "", limit: int = PAGE_ROWS
     ) -> result.Result[list[table.Row], errors.Unavailable]:
-        """Return at most `limit` rows under `prefix`, by key, past key `after`."""
+        """Return up to `limit` rows under `prefix` with keys past `after`, by key."""
         kind, shard, name = split_key(prefix)
         first = split_key(after)[2] + "\x01" if after else name
         query = {"table": kind, "part": shard, "from": first, "limit": str(limit)}
@@ -93,11 +93,10 @@
     def read_all(
         self, prefix: str, on_data: ports.OnData = ports.ignore_data
     ) -> result.Result[ports.Changes, errors.Unavailable]:
-        """Return every row under `prefix` and a version to follow changes from.
+        """Return every row under `prefix` and the version to read changes from.
 
-        A prefix without a shard stands for all of them. The version is that of the
-        first page: what changes between two pages is found again by following from
-        there.
+        A prefix without a shard covers all shards. The version is that of the first
+        page, so changes made between two pages are among those read from there.
         """
         kind, _, shard = prefix.rstrip("/").partition("/")
         if shard or prefix.endswith("//"):
@@ -107,7 +106,7 @@
     def _read_shards(
         self, kind: str, on_data: ports.OnData
     ) -> result.Result[ports.Changes, errors.Unavailable]:
-        """Return the rows of all shards, which are read at the same time."""
+        """Return the rows of all shards, which are read concurrently."""
         found = self._list_shards(kind)
         if isinstance(found, result.Err):
             return found
@@ -117,7 +116,7 @@
         ]
         gevent.joinall(readers)
         rows: list[table.Row] = []
-        # Rows of shards that came up since the list was read are found by following.
+        # Rows of shards created after the list was read are found in the changes.
         version = found.ok_value.ver
         for reader in readers:
             page = reader.get()
@@ -160,9 +159,9 @@
     ) -> result.Result[
         ports.Changes, errors.Unavailable | ports.HistoryLost | ports.TooLong
     ]:
-        """Return what changed under `prefix` after a version, waiting for a change."""
+        """Return changes under `prefix` after a version, or wait for the first one."""
         kind, _, shard = prefix.rstrip("/").partition("/")
-        every = not shard and not prefix.endswith("//")
+        all_shards = not shard and not prefix.endswith("//")
         query = {"table": kind, "after": str(after), "wait_ms": str(int(wait * 1000))}
         path = "/-/rows-feed?" + urllib.parse.urlencode(query)
         caller = self.feed_caller if wait else self.caller
@@ -185,7 +184,7 @@
         if isinstance(page, result.Err):
             return page
         rows = latest_changes(
-            row for row in page.ok_value.rows if every or row.part == shard
+            row for row in page.ok_value.rows if all_shards or row.part == shard
         )
         return result.Ok(
             ports.Changes(
@@ -210,13 +209,15 @@
             if reply.status == CONFLICT:
                 return result.Err(find_conflict(transaction, reply.body))
         except codec.DecodeError as exc:
-            # The status is certain, the version is not known: as good as lost.
-            log.error("answer of the store unreadable", error=str(exc))
+            # The status is known but not the content, so the outcome is uncertain.
+            log.error("store answer cannot be decoded", error=str(exc))
             return result.Err(errors.Uncertain("unreadable"))
         if reply.status in REFUSALS:
             if reply.status in (400, 403):
                 log.error(
-                    "store refused", status=reply.status, body=str(reply.body[:300])
+                    "store refused request",
+                    status=reply.status,
+                    body=str(reply.body[:300]),
                 )
             return result.Err(errors.Unavailable(f"status {reply.status}"))
         return result.Err(errors.Uncertain(f"status {reply.status}"))
@@ -235,7 +236,7 @@
 def decode_answer(
     answer: result.Result[http_caller.Reply, http_caller.CallError], kind: type[T]
 ) -> result.Result[T, errors.Unavailable]:
-    """Return what is in an answer, or why there is nothing."""
+    """Decode an answer, or return why there is nothing to decode."""
     if isinstance(answer, result.Err):
         return result.Err(errors.Unavailable(answer.err_value.reason))
     reply = answer.ok_value
@@ -244,12 +245,12 @@
     try:
         return result.Ok(codec.from_json(reply.body, kind))
     except codec.DecodeError as exc:
-        log.error("answer of the store unreadable", error=str(exc))
+        log.error("store answer cannot be decoded", error=str(exc))
         return result.Err(errors.Unavailable("unreadable"))
 
 
 def split_key(key: str) -> tuple[str, str, str]:
-    """Return kind, shard and the rest of a key."""
+    """Split a key into kind, shard and the rest."""
     kind, shard, name = key.split("/", 2)
     return kind, shard, name
 
@@ -257,39 +258,39 @@
 def latest_changes(rows: t.Iterable[wire.Row]) -> list[wire.Row]:
     """Return the last change of each row.
 
-    One answer can tell that a row was dropped and that it came back. Told apart
-    from the rows, the drop would seem to be the later one: workers whose entries
-    lapsed during an outage stayed unlisted for good.
+    One answer may report that a row was removed and that it was written again. If
+    removals were returned separately, the removal would appear to be the later change:
+    workers whose entries expired during an outage stayed unlisted for good.
     """
     return list({key_of(row): row for row in rows}.values())
 
 
 def key_of(row: wire.Row) -> str:
-    """Return the key of a row as the rest of the program names it."""
+    """Return the key of a row in the form used by the rest of the program."""
     return f"{row.table}/{row.part}/{row.key}"
 
 
 def decode_row(row: wire.Row) -> table.Row:
-    """Return a row of the store as the rest of the program knows it."""
+    """Convert a row of the store to the form used by the rest of the program."""
     return table.Row(key_of(row), decode_value(row.value), row.ver)
 
 
 def decode_value(value: str) -> str:
-    """Return the text of a row's value, or an empty one if it holds none.
+    """Return the text of a row's value, or an empty one if it cannot be decoded.
 
-    Other writers may put any bytes into a row. When they raised an error, one row ended
-    the following of all of them, and no instance could lead any more. No reader takes
-    the empty text for a message.
+    Other writers may store any bytes in a row. When these raised an error, one row
+    stopped the watch on all rows, and no instance could lead any more. No reader
+    accepts the empty text as a message.
     """
     try:
         return base64.b64decode(value, validate=True).decode()
     except ValueError:
-        # Both base64 and UTF-8 fail with one; who reads the row counts and logs it.
+        # Invalid base64 or UTF-8; the reader of the row counts and logs the error.
         return ""
 
 
 def to_message(transaction: table.Transaction) -> wire.Transaction:
-    """Return a transaction as the store takes it."""
+    """Convert a transaction to the format of the store."""
     message = wire.Transaction()
     for check in transaction.checks:
         kind, shard, name = split_key(check.key)
@@ -307,7 +308,7 @@
 
 
 def find_conflict(transaction: table.Transaction, body: bytes) -> errors.Conflict:
-    """Return which row had another version than the transaction expected."""
+    """Find a row that had another version than the transaction expected."""
     found = codec.from_json(body, wire.Page)
     versions = {key_of(row): row.ver for row in found.rows}
     for check in transaction.checks:
--- a/src/mangosail/platform/table.py
+++ b/src/mangosail/platform/table.py
@@ -1,6 +1,6 @@
-"""The transactional table: rows with versions, changed by checked transactions.
+"""The transactional table: versioned rows, changed by transactions with checks.
 
-A version is never used twice for a key, and 0 means that the row is absent::
+A version is never reused for a key, and 0 means that the row does not exist::
 
     table.commit(Transaction(
         checks=(Check("owner/w1", 0),),
@@ -17,13 +17,13 @@
 
 #: The version of a row that does not exist.
 ABSENT = 0
-#: Bytes of a row's value at most: with base64 the 65,536 that the platform takes.
+#: Maximum size of a row's value in bytes: in base64 the platform's limit of 65,536.
 MOST_VALUE = 49_152
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """A row as it was read: `value` is JSON text."""
+    """A row as it was read; `value` is JSON text."""
 
     key: str
     value: str
@@ -65,7 +65,7 @@
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[list[Row], errors.Unavailable]:
-        """Return at most `limit` rows under `prefix`, by key, past key `after`."""
+        """Return up to `limit` rows under `prefix` with keys past `after`, by key."""
 
     def commit(
         self, transaction: Transaction
--- a/src/mangosail/platform/wire.py
+++ b/src/mangosail/platform/wire.py
@@ -1,12 +1,12 @@
-"""Messages as the platform, workers and callers spell them.
+"""Messages in the formats of the platform, workers and callers.
 
-The names are theirs. Other modules of this folder turn these into the messages of
-the slices, where each field says what it holds.
+The names of the fields are theirs. Other modules of this folder convert these to the
+messages of the other packages, whose names are those of the program.
 """
 
 import dataclasses
 
-#: Thousandths of a core, and megabytes, of what the slices count in.
+#: Factors between these messages and the program, which counts cores and gigabytes.
 MILLICORES_PER_CORE = 1000
 MB_PER_GB = 1024
 
@@ -20,7 +20,7 @@
     part: str = ""
     value: str = ""
     ver: int = 0
-    #: The row was dropped.
+    #: True if the row was removed.
     tombstone: bool = False
 
 
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Removal:
-    """A row to drop."""
+    """A row to remove."""
 
     table: str
     part: str
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JobStep:
-    """A step of a job that a caller hands in."""
+    """A step of a job that a caller submits."""
 
     count: int = 0
     cpu: float = 0
@@ -112,7 +112,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JobBody:
-    """A job that a caller hands in."""
+    """A job that a caller submits."""
 
     steps: list[JobStep]
     spec: str = ""
@@ -147,7 +147,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """Bounds on requests in the operator's configuration."""
+    """Limits on requests in the operator's configuration."""
 
     max_body_bytes: int = 262144
     header_timeout_ms: float = 3000
@@ -166,7 +166,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Capacity:
-    """What a worker has: thousandths of cores, megabytes, accelerators."""
+    """Capacity of a worker: millicores, megabytes, accelerators."""
 
     cpu: float
     mem_mb: float
@@ -175,7 +175,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """What a worker writes about itself; without one of these it is no worker's."""
+    """A worker's description of itself; fields without a default are required."""
 
     service: str
     address: str
@@ -183,15 +183,15 @@
     version: str
     slots: int
     state: str
-    #: Milliseconds for which it is slow after its start.
+    #: Milliseconds for which it remains slow after its start.
     cold_remaining_ms: float
-    #: Counts how often the worker wrote.
+    #: Number of times that the worker has written its entry.
     sequence: int
     capacity: Capacity
     labels: list[str]
-    #: Milliseconds for which a draining worker still serves at least.
+    #: Minimum time in milliseconds for which a draining worker still serves.
     remaining_ms: float | None = None
-    #: Unix milliseconds at which this life of the worker began; earlier ones don't say.
+    #: Unix milliseconds at which this incarnation started; older workers omit it.
     born: int | None = None
 
 
@@ -206,7 +206,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """An order to let a run work at a share of its speed."""
+    """An order to limit the speed of a run to a percentage."""
 
     task: str
     run: int
@@ -224,7 +224,7 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldRuns:
-    """A worker's answer to a look; rows are lists, as the page orders them."""
+    """A worker's answer to a poll; rows are lists in the protocol's field order."""
 
     clock_ms: float
     born: int | None = None
@@ -234,7 +234,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AdviceRequest:
-    """A question which of the workers may run a step."""
+    """A request for the workers that may run a step."""
 
     step: str
     workers: list[str]
@@ -242,7 +242,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AdviceAnswer:
-    """Workers that may run the step, each with its ticket."""
+    """Workers that may run a step, each with its ticket."""
 
     good: list[tuple[str, str]] = dataclasses.field(default_factory=list)
     valid_ms: float = 0
@@ -250,13 +250,13 @@
 
 @dataclasses.dataclass(slots=True)
 class StatePage:
-    """A job's state as its caller is told."""
+    """A job's state, as returned to its caller."""
 
     state: str
 
 
 @dataclasses.dataclass(slots=True)
 class PendingPage:
-    """How many jobs of a queue wait."""
+    """The number of waiting jobs of a queue."""
 
     pending: int
--- a/src/mangosail/platform/workers.py
+++ b/src/mangosail/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to workers over HTTP; implements `scheduler.ports.Workers`."""
+"""Sends orders to workers over HTTP; implements `ports.WorkerClient`."""
 
 import typing as t
 
@@ -13,27 +13,27 @@
 
 log = logbook.Logger("workers")
 
-#: Seconds after which an order without an answer is in doubt.
+#: Seconds after which the outcome of an unanswered order is unknown.
 ORDER_TIMEOUT_S = 0.9
-#: Seconds that a look may take beyond the time that it waits for an end.
+#: Seconds that a poll may take beyond the time that it waits for a run to end.
 POLL_MARGIN_S = 0.8
-#: Seconds within which a look must have come whole: the answers of many workers share a
-#: narrow link. One that is later could not extend leases, of 4.3 s, in time.
+#: Timeout in seconds for the complete answer to a poll: the answers of many workers
+#: share a slow link. A later one could not extend leases, of 4.3 s, in time.
 POLL_TOTAL_TIMEOUT_S = 3.0
-#: Connections to one worker for orders; of the 64 that it takes, a share that
+#: Connections to one worker for orders: a share of the 64 that it accepts, which
 #: leaves room for a later leader.
 ORDER_CONNECTIONS = 6
-#: Share of this process's descriptors that connections for orders may take. Each worker
-#: takes one more for looks, and callers, peers and the store need some hundreds.
+#: Share of this process's file descriptors for order connections. Each worker takes one
+#: more for polls, and callers, peers and the store need some hundreds.
 ORDER_SHARE = 0.6
-#: Connections to one worker for looks, which follow one another.
+#: Connections to one worker for polls, of which only one is pending at a time.
 POLL_CONNECTIONS = 1
-#: Connections for orders that each worker needs at least: one order may wait for its
-#: answer while a look aside finds out what became of it.
+#: Minimum number of order connections per worker: an order may still wait for its
+#: answer while an out-of-band poll finds out its outcome.
 MIN_ORDER_CONNECTIONS = 2
-#: Descriptors for files, callers, peers and the store.
+#: File descriptors for files, callers, peers and the store.
 RESERVED_DESCRIPTORS = 800
-#: Workers that are gone whose connections are kept beside those that are attended to.
+#: Maximum number of gone workers whose connections are kept besides the polled ones.
 MAX_GONE_WORKERS = 200
 
 OK = 200
@@ -41,7 +41,7 @@
 REJECTED = 409
 OTHER_INCARNATION = 421
 
-#: Words of the platform for why an order was rejected.
+#: Reasons for rejected orders, by the platform's names.
 REASONS = {
     "fence": errors.Reason.FENCED,
     "old": errors.Reason.SUPERSEDED,
@@ -52,11 +52,11 @@
 
 
 class HttpWorkers:
-    """Speaks to workers, with pooled connections to each."""
+    """Sends requests to workers, on pooled connections to each."""
 
     def __init__(self, descriptors: int) -> None:
         each = POLL_CONNECTIONS + MIN_ORDER_CONNECTIONS
-        #: Workers that the descriptors are enough for.
+        #: Number of workers for which the file descriptors suffice.
         self.most = max((descriptors - RESERVED_DESCRIPTORS) // each, 1)
         kept = self.most + MAX_GONE_WORKERS
         budget = int(descriptors * ORDER_SHARE)
@@ -83,7 +83,7 @@
     def stop(
         self, worker: messages.WorkerEntry, task: str, run: int, token: int
     ) -> result.Result[int, errors.OrderError]:
-        """Stop a run, or bar it if it is not there yet; return the worker's clock."""
+        """Stop a run, or prevent its start if it has not begun; return the clock."""
         body = codec.to_json(wire.RunStop(task, run, token))
         return self._order(worker, "/-/run-stop", body)
 
@@ -95,7 +95,7 @@
         percent: int,
         token: int,
     ) -> result.Result[int, errors.OrderError]:
-        """Let a run work at `percent` of its speed; return the worker's clock."""
+        """Limit a run to `percent` of its speed; return the worker's clock."""
         body = codec.to_json(wire.Pace(task, run, percent, token))
         return self._order(worker, "/-/pace", body)
 
@@ -108,7 +108,7 @@
         wait: float,
         out_of_band: bool = False,
     ) -> result.Result[messages.WorkerReport, errors.OrderError]:
-        """Extend the lease to `deadline` and return what runs and what ended."""
+        """Extend the lease to `deadline`, and return running and ended runs."""
         body: dict[str, t.Any] = {"fencing_token": token, "last_seen": acknowledged}
         if deadline is not None:
             body["deadline_ms"] = deadline
@@ -131,7 +131,9 @@
         try:
             return result.Ok(to_report(codec.from_json(reply.body, wire.HeldRuns)))
         except (codec.DecodeError, ValueError, IndexError) as exc:
-            log.error("look unreadable", worker=worker.name, error=str(exc))
+            log.error(
+                "poll answer cannot be decoded", worker=worker.name, error=str(exc)
+            )
             return result.Err(errors.Silent("unreadable"))
 
     def _order(
@@ -150,25 +152,25 @@
 
 
 def headers_for(worker: messages.WorkerEntry) -> dict[str, str]:
-    """Return headers that keep an order from another life of the worker."""
+    """Return headers that make another incarnation of the worker reject an order."""
     return {"Content-Type": "application/json", "Expect-Instance": worker.name}
 
 
 def to_order_error(error: http_caller.CallError) -> errors.OrderError:
-    """Return what a call without an answer means for its order."""
+    """Convert the error of a call without an answer to that of its order."""
     if isinstance(error, call_errors.Unavailable):
         return errors.Unwell(0)
     return errors.Silent(error.reason)
 
 
 def decode_refusal(reply: http_caller.Reply) -> errors.OrderError:
-    """Return what an answer other than success means for its order."""
+    """Convert an unsuccessful answer to the error of its order."""
     if reply.status == OTHER_INCARNATION:
         return errors.Replaced()
     if reply.status in (429, 503):
         return errors.Unwell(reply.status)
     if reply.status == INVALID:
-        log.error("worker called an order invalid", body=str(reply.body[:300]))
+        log.error("worker rejected order as invalid", body=str(reply.body[:300]))
         return errors.Rejected(errors.Reason.INVALID)
     if reply.status != REJECTED:
         return errors.Silent(f"status {reply.status}")
@@ -178,27 +180,27 @@
 
 
 def decode_order_answer(body: bytes) -> wire.OrderAnswer:
-    """Return a worker's answer; one that can't be read says nothing."""
+    """Decode a worker's answer; an empty one if that fails."""
     try:
         return codec.from_json(body, wire.OrderAnswer)
     except codec.DecodeError as exc:
-        log.error("answer of a worker unreadable", error=str(exc))
+        log.error("order answer cannot be decoded", error=str(exc))
         return wire.OrderAnswer()
 
 
-def to_report(held: wire.HeldRuns) -> messages.WorkerReport:
-    """Return a look from the rows in which the worker gives it."""
+def to_report(answer: wire.HeldRuns) -> messages.WorkerReport:
+    """Convert a worker's answer to a poll."""
     running = tuple(
         messages.RunningTask(
             row[0], int(row[1]), row[2] or "", int(row[3]),
             float(row[4]) if len(row) > 4 and row[4] is not None else 0.0,
         )
-        for row in held.running
+        for row in answer.running
     )  # fmt: skip
     ended = tuple(
         messages.RunEnd(
             int(row[0]), row[1], int(row[2]), messages.Outcome(row[3]), row[4] or ""
         )
-        for row in held.ended
+        for row in answer.ended
     )
-    return messages.WorkerReport(int(held.clock_ms), running, ended, held.born)
+    return messages.WorkerReport(int(answer.clock_ms), running, ended, answer.born)
--- a/tests/platform/steps/platform_steps.py
+++ b/tests/platform/steps/platform_steps.py
@@ -39,7 +39,7 @@
     reads = [gevent.spawn(context.rows.read, ["key/1"]) for _ in range(count)]
     gevent.joinall(reads, timeout=3.0)
     for greenlet in reads:
-        assert greenlet.ready(), "a read never came back"
+        assert greenlet.ready(), "a read did not finish within 3 s"
         assert isinstance(greenlet.get(), result.Ok), greenlet.get()
 
 
@@ -52,12 +52,12 @@
     context.sent = []
     call = calls.call
 
-    def noted(*args, **options):
+    def recorded(*args, **options):
         answer = call(*args, **options)
         context.sent.append(len(answer.ok_value.body))
         return answer
 
-    calls.call = noted
+    calls.call = recorded
     context.inventory = http.HttpInventory(calls)
     stage.wait_until(lambda: standings(context) == {name: "live"}, what="listed")
 
@@ -85,6 +85,6 @@
     stage.call(context.stage.platform, "PUT", path, {"standing": "leaving"})
 
 
-@then("the list that is fetched says so")
+@then("the fetched list shows it as leaving")
 def fetched_leaving(context):
     stage.wait_until(lambda: "leaving" in standings(context).values(), what="leaving")
