--- a/tests/adapter/adapter.feature
+++ b/tests/adapter/adapter.feature
@@ -1,30 +1,31 @@
-Feature: The adapter to the users' platform translates, and decides nothing
+Feature: The adapter to the users' platform converts messages and makes no decisions
 
-  Scenario: What is written is read, found by following, and dropped
+  Scenario: A row is written, read, reported to watchers, and removed
     Given the platform's store
-    When a row is written, read, and dropped while its kind is followed
-    Then the row was read as written, and following told of both
+    When a row is written, read and removed while its table is watched
+    Then the row was read as written, and the watch reported both changes
 
-  Scenario: A row that was dropped and came back in one reading is there
-    # Callers' jobs wait for ever. All workers' entries lapsed while the store was away
-    # and came back; one reading told of both, and the workers stayed unlisted.
+  Scenario: A row that was removed and written again within one read is present
+    # Callers' jobs would wait for ever: all workers' entries expired during an outage of
+    # the store and were written again. One read returned both changes, and the removal
+    # won, so that the workers stayed unlisted.
     Given the platform's store
-    When a row is dropped and written again while its kind is followed
-    Then following tells of the row, and not that it was dropped
+    When a row is removed and written again while its table is watched
+    Then the watch reports the row, and not its removal
 
-  Scenario: A row that came and was dropped in one reading is gone
+  Scenario: A row that was written and removed within one read is gone
     Given the platform's store
-    When a row is written and dropped while its kind is followed
-    Then following tells only that the row was dropped
+    When a row is written and removed while its table is watched
+    Then the watch reports only the removal
 
-  Scenario: Rows of all shards are read together, page by page
+  Scenario: Rows of all shards are read concurrently, page by page
     Given the platform's store
     And 1200 rows in 3 shards
-    When all rows of their kind are read
+    When all rows of their table are read
     Then 1200 rows are found
 
   Scenario Outline: Answers of the store keep their meaning
-    # A caller is told that nothing was stored only if the store said so.
+    # A caller may be told that nothing was stored only if the store said so.
     Given the platform's store
     And the store answers a write with <status>
     When a row is written
@@ -41,11 +42,11 @@
     When a row is written that must not exist, and does
     Then the write is a conflict on that row
 
-  Scenario: A dropped history is told apart from a failed reading
+  Scenario: A dropped history is distinguished from a failed read
     Given the platform's store
-    And the store has dropped its history
-    When its rows are followed
-    Then following says that the history is lost
+    And the store has dropped its history of changes
+    When its rows are watched
+    Then the watch reports that the history is lost
 
   Scenario: An answer that never comes leaves a write uncertain, and calls go on
     Given the platform's store
@@ -74,28 +75,29 @@
       | 421    | -      | replaced   |
       | 500    | -      | silent     |
 
-  Scenario: A look carries token and lease, and brings runs and ends
+  Scenario: A poll sends token and lease, and returns running and ended runs
     Given a worker
-    And it lists a run with a tail of 14 ms and the end of another
-    When it is looked at
-    Then the look has both, and named the life of the worker that it meant
+    And it reports a run with a tail latency of 14 ms and the end of another
+    When it is polled
+    Then the report has both, and the poll named the expected worker
 
-  Scenario: A look tells which life of the worker has answered
+  Scenario: A poll tells which incarnation of the worker has answered
     Given a worker
-    And it lists nothing, and was born at 1792742400123
-    When it is looked at
-    Then the look is of the life that was born at 1792742400123
+    And it reports no runs, and an incarnation started at 1792742400123
+    When it is polled
+    Then the report is of the incarnation started at 1792742400123
 
-  Scenario: A worker that nobody listens for has certainly done nothing
+  Scenario: A worker that does not listen has certainly done nothing
     Given a worker whose port is closed
     When a run is started there
     Then the start is unwell
 
-  Scenario Outline: A peer that is passed a request on answers, is silent or is not there
-    # A caller is told that nothing was done only if the request was certainly not sent.
+  Scenario Outline: A forwarded request is answered, left unanswered or not sent
+    # A caller may be told that nothing was done only if the request was certainly not
+    # sent.
     Given the platform's store
     And a peer that <state>
-    When a caller's request is passed on to it
+    When a caller's request is forwarded to it
     Then it is <outcome>
 
     Examples:
@@ -104,8 +106,8 @@
       | never answers    | left undecided           |
       | is not there     | not sent                 |
 
-  Scenario Outline: Bad jobs are refused by their fault
-    When a caller hands in <body>
+  Scenario Outline: Invalid jobs are refused with their fault
+    When a caller submits <body>
     Then it is refused for "<fault>"
 
     Examples:
@@ -122,32 +124,32 @@
       | a job of 300 steps                          | bytes to keep, at most    |
       | {"steps":[{"count":"x"}]}                   | Expected `int`            |
 
-  Scenario: A job's units are those of the slices
-    When a caller hands in a step of 2500 thousandths of a core and 2048 MB
+  Scenario: A job's units are converted to those of the scheduler
+    When a caller submits a step of 2500 millicores and 2048 MB
     Then the step needs 2.5 cores and 2 GB
 
   Scenario: Callers are answered over HTTP
     Given an instance on the platform, with a queue at "q.example" "/fast/"
-    When a job is posted, asked for, counted, cancelled, and posted to nowhere
+    When a job is posted, queried, counted, cancelled, and posted to an unknown path
     Then the answers are 200, 200, 200, 200 and 404
 
-  Scenario: The balancer hears that an instance is not ready
+  Scenario: The load balancer's check fails on an instance that is not ready
     Given an instance on the platform, with a queue at "q.example" "/fast/"
     Then it is ready
-    When it has not heard of the store for 3 seconds
+    When it has had no answer of the store for 3 seconds
     Then it is not ready
-    And a job is refused with the time to come back
+    And a job is refused with a Retry-After header
 
-  Scenario: Settings with fields that nobody knows are read
+  Scenario: Settings with unknown fields are read
     Given a settings file of the platform with an unknown field
     Then the settings name the instance and the store
 
-  Scenario: An instance goes by the platform's term for changes of the configuration
-    # By a longer one of its own, callers were served from queues that had been dropped.
-    Given a settings file of the platform in which changes have 3000 ms
-    When an instance is made from it
-    Then it goes by a configuration for 3 s after it was surely the newest
+  Scenario: An instance observes the platform's time limit for configuration changes
+    # With a longer limit of its own, it served callers from queues that had been removed.
+    Given a settings file of the platform that allows 3000 ms for changes
+    When an instance is created from it
+    Then it uses a configuration for 3 s after it was known to be the newest
 
-  Scenario: Settings that lack the store are refused by name
+  Scenario: Settings without the store are refused, and the error names the field
     Given a settings file of the platform without the store
     Then reading it fails and names "platform"
--- a/tests/adapter/connections.feature
+++ b/tests/adapter/connections.feature
@@ -1,12 +1,12 @@
-Feature: Connections to workers fit the descriptors of the process
+Feature: Connections to workers fit the file descriptors of the process
 
-  Scenario Outline: All workers are reached, however many there are
-    Each worker takes a few connections for orders. At 1,002 workers the leader ran out
-    of descriptors, so that orders and looks failed at random and jobs waited.
+  Scenario Outline: All workers can be reached, whatever their number
+    With a fixed number of order connections per worker, the leader of 1,002 workers ran
+    out of file descriptors: orders and polls failed at random, and jobs waited.
     Given <workers> workers and <descriptors> descriptors
-    When orders go to each of them
-    Then each may have <each> connections for orders
-    And looks and orders together leave <spare> descriptors or more
+    When orders are sent to each of them
+    Then each may hold <each> connections for orders
+    And polls and orders together leave <spare> descriptors or more free
 
     Examples:
       | workers | descriptors | each | spare |
--- a/tests/adapter/entries.feature
+++ b/tests/adapter/entries.feature
@@ -1,25 +1,25 @@
-Feature: An entry of another writer names no worker to use
+Feature: An invalid entry is not used as a worker
 
-  Anybody may write anything where workers describe themselves. Callers' jobs would
-  stand still if one such row ended the reading of all others, or fail if it led
-  orders to a machine that is none.
+  Any writer may store anything in the rows of workers' entries. Callers' jobs would
+  wait if one such row stopped the reading of all others, or fail if it directed orders
+  to an address that is no worker.
 
-  Scenario: A worker's own entry names it
+  Scenario: A valid entry describes its worker
     When an entry is read as a worker wrote it
-    Then it names the worker with 16 cores at its address
+    Then it describes the worker with 16 cores at its address
 
-  Scenario Outline: An entry tells which life of the worker wrote it
+  Scenario Outline: An entry tells which incarnation of the worker wrote it
     When an entry is read that <tells>
-    Then its worker's birth is <born>
+    Then its worker's incarnation is <born>
 
     Examples:
       | tells              | born          |
-      | has a birth        | 1792742400123 |
-      | tells no birth     | None          |
+      | has a start time   | 1792742400123 |
+      | has no start time  | None          |
 
-  Scenario Outline: An entry with <wrong> names no worker
+  Scenario Outline: An entry with <wrong> is invalid
     When an entry is read with <wrong>
-    Then it is bad for its <fault>
+    Then it is invalid for its <fault>
 
     Examples:
       | wrong               | fault      |
@@ -27,10 +27,10 @@
       | no sequence         | unreadable |
       | slots as text       | unreadable |
       | a label that is 7   | unreadable |
-      | a birth as text     | unreadable |
+      | a start as text     | unreadable |
       | a list around it    | unreadable |
-      | nesting without end | unreadable |
-      | half a character    | unreadable |
+      | unlimited nesting   | unreadable |
+      | half a surrogate    | unreadable |
       | the state asleep    | state      |
       | no port             | address    |
       | port 0              | address    |
@@ -38,13 +38,13 @@
       | a name for address  | address    |
       | no cores            | capacity   |
       | -4000 megabytes     | capacity   |
-      | cores without end   | capacity   |
+      | too many cores      | capacity   |
 
-  Scenario: Any bytes in a row are read as text that is no message, or as they are
-    Then any bytes in a row give a text or an empty one
+  Scenario: Any bytes in a row are read as their text, or as empty text
+    Then any bytes in a row give their text or an empty one
 
-  Scenario: Any JSON in an entry is a worker that can be used, or none
+  Scenario: Any JSON in an entry is a usable worker or invalid
     Then any JSON in an entry gives a usable worker or a fault
 
-  Scenario: An entry with any one field changed is a worker that can be used, or none
+  Scenario: An entry with any field changed is a usable worker or invalid
     Then any field of an entry with any value gives a usable worker or a fault
--- a/tests/adapter/narrow_uplinks.feature
+++ b/tests/adapter/narrow_uplinks.feature
@@ -1,16 +1,16 @@
-Feature: What a leader keeps goes over a narrow link
+Feature: A leader's records are stored over a slow link
 
-  Scenario Outline: Records of <size> are kept, and the lease renewed meanwhile
-    Jobs start late or never, and their states stand still. All that had changed went
-    into one transaction. One that takes the link longer than a write may take never
-    takes effect, and one of more than 1 MB is refused; it is sent again for ever. The
-    lease, which goes with it, runs out.
+  Scenario Outline: Records of <size> are stored, and the lease renewed meanwhile
+    Jobs start late or never, and their states no longer change. All changes went into
+    one transaction. One that takes longer to send than the timeout of a write never
+    takes effect, and one of more than 1 MB is refused; either is sent again for ever.
+    The lease, whose renewal is part of it, expires.
     Given a leader that sends 500 KB a second to the store
     When <count> jobs with records of <size> have changed
-    Then all of them are kept within <seconds> s
-    And the lease was never left for 0.9 s without a renewal
+    Then all of them are stored within <seconds> s
+    And the lease never went 0.9 s without a renewal
     And little more than the records went over the link
-    And each job was called back once, when it was kept
+    And the callback of each job ran once, after it was stored
 
     Examples:
       | count | size  | seconds |
@@ -19,11 +19,11 @@
       | 200   | 4 KB  | 5       |
       | 300   | 100 B | 2       |
 
-  Scenario: Copies of a write that is decided leave the link to the next one
+  Scenario: Copies of a write are dropped once its outcome is known
     Jobs start later and later, though nothing is lost. Where other traffic leaves little
-    of the link, each write is late and sent again; its copies went on to the end when it
-    had long taken effect, and made the next one late for good.
+    bandwidth, each write is late and sent again. Its copies were sent to the end after
+    the write had taken effect, and so made every following write late.
     Given a leader that sends 100 KB a second to the store
     When 6 jobs with records of 40 KB have changed
-    Then all of them are kept within 9 s
-    And each job was called back once, when it was kept
+    Then all of them are stored within 9 s
+    And the callback of each job ran once, after it was stored
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -42,8 +42,8 @@
     return context.store.commit(table.Transaction(checks, writes))
 
 
-@when("a row is written, read, and dropped while its kind is followed")
-def step_round(context):
+@when("a row is written, read and removed while its table is watched")
+def step_write_read_remove(context):
     before = context.store.read_all("kind/").ok_value.version
     context.version = write(context).ok_value
     context.read = context.store.read([KEY]).ok_value
@@ -53,8 +53,8 @@
     context.seen.append(context.store.changes("kind/s0/", context.version, 0).ok_value)
 
 
-@then("the row was read as written, and following told of both")
-def step_round_read(context):
+@then("the row was read as written, and the watch reported both changes")
+def step_both_changes(context):
     row = table.Row(KEY, '"text"', context.version)
     assert context.read == {KEY: row}, context.read
     assert context.seen[0].rows == (row,), context.seen
@@ -66,30 +66,30 @@
     assert context.store.commit(transaction).is_ok()
 
 
-@when("a row is dropped and written again while its kind is followed")
-def step_came_back(context):
+@when("a row is removed and written again while its table is watched")
+def step_removed_and_written(context):
     version = write(context).ok_value
     drop(context)
     write(context)
     context.seen = context.store.changes("kind/", version, 0).ok_value
 
 
-@then("following tells of the row, and not that it was dropped")
-def step_there(context):
+@then("the watch reports the row, and not its removal")
+def step_row_reported(context):
     assert [row.key for row in context.seen.rows] == [KEY], context.seen
     assert not context.seen.removed, context.seen
 
 
-@when("a row is written and dropped while its kind is followed")
-def step_came_and_went(context):
+@when("a row is written and removed while its table is watched")
+def step_written_and_removed(context):
     before = context.store.read_all("kind/").ok_value.version
     write(context)
     drop(context)
     context.seen = context.store.changes("kind/", before, 0).ok_value
 
 
-@then("following tells only that the row was dropped")
-def step_gone(context):
+@then("the watch reports only the removal")
+def step_removal_reported(context):
     assert context.seen.removed == (KEY,), context.seen
     assert not context.seen.rows, context.seen
 
@@ -100,7 +100,7 @@
         context.platform.put("kind", f"s{number % shards}", f"k{number:05}", "1")
 
 
-@when("all rows of their kind are read")
+@when("all rows of their table are read")
 def step_read_all(context):
     context.found = context.store.read_all("kind/").ok_value.rows
 
@@ -111,11 +111,11 @@
 
 
 @given("the store answers a write with {status:d}")
-def step_armed(context, status):
+def step_status(context, status):
     context.platform.armed["/-/rows-tx"] = [(status, {})]
 
 
-@given("the store has dropped its history")
+@given("the store has dropped its history of changes")
 def step_dropped(context):
     context.platform.armed["/-/rows-feed"] = [(410, {})]
 
@@ -136,8 +136,8 @@
     context.done = write(context, table.Check(KEY, table.ABSENT))
 
 
-@when("its rows are followed")
-def step_follow(context):
+@when("its rows are watched")
+def step_watch(context):
     context.done = context.store.changes("kind/", 1, 0)
 
 
@@ -156,7 +156,7 @@
         assert context.done.err_value.key == KEY
 
 
-@then("following says that the history is lost")
+@then("the watch reports that the history is lost")
 def step_lost(context):
     assert isinstance(context.done.err_value, ports.HistoryLost), context.done
 
@@ -188,8 +188,8 @@
     context.platform.armed["/-/run-start"] = [(status, reply)]
 
 
-@given("it lists a run with a tail of {tail:d} ms and the end of another")
-def step_lists(context, tail):
+@given("it reports a run with a tail latency of {tail:d} ms and the end of another")
+def step_reports(context, tail):
     reply = {
         "clock_ms": 482113,
         "running": [[f"{JOB}.0.0.1", 2, "saved", 41, tail]],
@@ -198,14 +198,14 @@
     context.platform.armed["/-/hold"] = [(200, reply)]
 
 
-@given("it lists nothing, and was born at {born:d}")
-def step_born(context, born):
+@given("it reports no runs, and an incarnation started at {born:d}")
+def step_incarnation(context, born):
     reply = {"clock_ms": 3, "running": [], "ended": [], "born": born}
     context.platform.armed["/-/hold"] = [(200, reply)]
 
 
-@then("the look is of the life that was born at {born:d}")
-def step_look_born(context, born):
+@then("the report is of the incarnation started at {born:d}")
+def step_report_incarnation(context, born):
     assert context.done == result.Ok(messages.WorkerReport(3, (), (), born)), (
         context.done
     )
@@ -217,8 +217,8 @@
     context.done = context.workers.start(context.entry, order)
 
 
-@when("it is looked at")
-def step_look(context):
+@when("it is polled")
+def step_poll(context):
     context.done = context.workers.poll(context.entry, 3, 57, 486000, 1.0)
 
 
@@ -231,12 +231,12 @@
         assert type(error).__name__.lower() == meaning, error
 
 
-@then("the look has both, and named the life of the worker that it meant")
-def step_look_has(context):
+@then("the report has both, and the poll named the expected worker")
+def step_report_has(context):
     run = messages.RunningTask(f"{JOB}.0.0.1", 2, "saved", 41, 14.0)
     end = messages.RunEnd(58, f"{JOB}.0.0.2", 1, messages.Outcome.DONE, "")
-    look = messages.WorkerReport(482113, (run,), (end,))
-    assert context.done == result.Ok(look), context.done
+    report = messages.WorkerReport(482113, (run,), (end,))
+    assert context.done == result.Ok(report), context.done
     _, _, body, headers = context.platform.calls[0]
     assert json.loads(body) == {
         "fencing_token": 3, "last_seen": 57, "deadline_ms": 486000, "wait_ms": 1000,
@@ -247,7 +247,7 @@
 QUEUE = messages.Queue("q", "q.example", "/fast/", "pool", 0, 2, 3.0)
 
 
-@when("a caller hands in {body}")
+@when("a caller submits {body}")
 def step_body(context, body):
     if body.startswith("a step of"):
         body = '{"steps":[{"count":1,"cpu":2500,"mem_mb":2048}]}'
@@ -291,7 +291,7 @@
     return context.client.simulate_post(path, body=body, headers=context.host)
 
 
-@when("a job is posted, asked for, counted, cancelled, and posted to nowhere")
+@when("a job is posted, queried, counted, cancelled, and posted to an unknown path")
 def step_calls(context):
     path = f"/fast/{JOB}"
     context.replies = [
@@ -311,8 +311,8 @@
     assert context.replies[2].json == {"pending": 0}
 
 
-@when("it has not heard of the store for {seconds:d} seconds")
-def step_unheard(context, seconds):
+@when("it has had no answer of the store for {seconds:d} seconds")
+def step_store_silent(context, seconds):
     context.clock.now += seconds
 
 
@@ -334,7 +334,7 @@
     )
 
 
-@then("a job is refused with the time to come back")
+@then("a job is refused with a Retry-After header")
 def step_refused(context):
     reply = post(context, f"/fast/{JOB}")
     assert reply.status_code == 503, reply.status_code
@@ -366,18 +366,18 @@
     settings_file(context, {k: v for k, v in SETTINGS.items() if k != "platform"})
 
 
-@given("a settings file of the platform in which changes have {term:d} ms")
-def step_term(context, term):
-    settings_file(context, {**SETTINGS, "bounds": {"config_apply_ms": term}})
+@given("a settings file of the platform that allows {limit_ms:d} ms for changes")
+def step_time_limit(context, limit_ms):
+    settings_file(context, {**SETTINGS, "bounds": {"config_apply_ms": limit_ms}})
 
 
-@when("an instance is made from it")
+@when("an instance is created from it")
 def step_made(context):
     context.process = process.Process(deployment.read(context.path))
 
 
-@then("it goes by a configuration for {seconds:g} s after it was surely the newest")
-def step_goes_by(context, seconds):
+@then("it uses a configuration for {seconds:g} s after it was known to be the newest")
+def step_max_age(context, seconds):
     assert context.process.catalog.max_age == seconds
 
 
@@ -394,7 +394,7 @@
     except program_errors.ConfigurationError as exc:
         assert name in str(exc), exc
         return
-    raise AssertionError("it was read")
+    raise AssertionError("settings without the store were accepted")
 
 
 @given("a peer that {state}")
@@ -406,14 +406,14 @@
         context.platform.close()
 
 
-@when("a caller's request is passed on to it")
-def step_pass_on(context):
+@when("a caller's request is forwarded to it")
+def step_forward(context):
     request = relaying.Request("POST", "jobs.example", "/q/1", b"{}")
     context.done = peering.HttpPeers().send(context.peer, request)
 
 
 @then("it is answered with the status")
-def step_passed_on(context):
+def step_forwarded(context):
     assert context.done.ok_value == relaying.Answer(404, "{}"), context.done
     method, path, body, headers = context.platform.calls[-1]
     assert (method, path, body) == ("POST", "/q/1", b"{}")
--- a/tests/adapter/steps/connections_steps.py
+++ b/tests/adapter/steps/connections_steps.py
@@ -10,9 +10,9 @@
     context.orders = workers.HttpWorkers(descriptors).order_callers
 
 
-@when("orders go to each of them")
-def orders_go(context):
-    # Twice, as the first ones were met when fewer were known.
+@when("orders are sent to each of them")
+def send_orders(context):
+    # Twice: the limit of the first callers was set when there were fewer of them.
     for _ in range(2):
         context.callers = [
             context.orders.get(f"w{number}", "127.0.0.1:9")
@@ -20,12 +20,12 @@
         ]
 
 
-@then("each may have {most:d} connections for orders")
-def each(context, most):
-    assert {caller.concurrency for caller in context.callers} == {most}
+@then("each may hold {limit:d} connections for orders")
+def each(context, limit):
+    assert {caller.concurrency for caller in context.callers} == {limit}
 
 
-@then("looks and orders together leave {spare:d} descriptors or more")
+@then("polls and orders together leave {spare:d} descriptors or more free")
 def spare(context, spare):
     held = sum(caller.concurrency + 1 for caller in context.callers)
     assert context.descriptors - held >= spare, context.descriptors - held
--- a/tests/adapter/steps/entries_steps.py
+++ b/tests/adapter/steps/entries_steps.py
@@ -29,7 +29,7 @@
     "no sequence": lambda entry: entry.pop("sequence"),
     "slots as text": lambda entry: entry.update(slots="8"),
     "a label that is 7": lambda entry: entry.update(labels=["a", 7]),
-    "a birth as text": lambda entry: entry.update(born="1792742400123"),
+    "a start as text": lambda entry: entry.update(born="1792742400123"),
     "the state asleep": lambda entry: entry.update(state="asleep"),
     "no port": lambda entry: entry.update(address="10.128.0.9"),
     "port 0": lambda entry: entry.update(address="10.128.0.9:0"),
@@ -39,12 +39,12 @@
     "a name for address": lambda entry: entry.update(address="host:80"),
     "no cores": lambda entry: entry["capacity"].update(cpu=0),
     "-4000 megabytes": lambda entry: entry["capacity"].update(mem_mb=-4000),
-    "cores without end": lambda entry: entry["capacity"].update(cpu=1e18),
+    "too many cores": lambda entry: entry["capacity"].update(cpu=1e18),
 }
 TEXTS = {
     "a list around it": json.dumps([GOOD]),
-    "nesting without end": json.dumps(GOOD)[:-1] + ',"more":' + "[" * 99999,
-    "half a character": json.dumps({**GOOD, "zone": "?"}).replace("?", "\\ud800"),
+    "unlimited nesting": json.dumps(GOOD)[:-1] + ',"more":' + "[" * 99999,
+    "half a surrogate": json.dumps({**GOOD, "zone": "?"}).replace("?", "\\ud800"),
 }
 ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
@@ -58,28 +58,28 @@
     context.entry = entries.decode_entry(NAME, json.dumps(GOOD))
 
 
-@when("an entry is read that has a birth")
-def read_born(context):
+@when("an entry is read that has a start time")
+def read_with_start(context):
     context.entry = entries.decode_entry(
         NAME, json.dumps({**GOOD, "born": 1792742400123})
     )
 
 
-@when("an entry is read that tells no birth")
-def read_unborn(context):
+@when("an entry is read that has no start time")
+def read_without_start(context):
     read_good(context)
 
 
-@then("its worker's birth is {born}")
-def told_birth(context, born):
+@then("its worker's incarnation is {born}")
+def has_incarnation(context, born):
     assert str(context.entry.unwrap().incarnation) == born, context.entry
 
 
-@then("it names the worker with {cores:d} cores at its address")
+@then("it describes the worker with {cores:d} cores at its address")
 def good_entry(context, cores):
     entry = context.entry.unwrap()
-    told = (entry.name, entry.address, entry.capacity.cpus, entry.draining)
-    assert told == (NAME, GOOD["address"], cores, False), entry
+    found = (entry.name, entry.address, entry.capacity.cpus, entry.draining)
+    assert found == (NAME, GOOD["address"], cores, False), entry
 
 
 @when("an entry is read with {wrong}")
@@ -90,13 +90,13 @@
     context.entry = entries.decode_entry(NAME, TEXTS.get(wrong, json.dumps(entry)))
 
 
-@then("it is bad for its {fault}")
+@then("it is invalid for its {fault}")
 def bad_entry(context, fault):
     assert context.entry == result.Err(errors.BadEntry(errors.Fault(fault)))
 
 
 def check(text):
-    """Hold an entry against what the scheduler relies on."""
+    """Check an entry for the properties that the scheduler relies on."""
     found = entries.decode_entry(NAME, text)
     if isinstance(found, result.Err):
         assert isinstance(found.err_value, errors.BadEntry)
@@ -111,7 +111,7 @@
     json.dumps([entry.service, entry.data_centre, sorted(entry.labels)]).encode()
 
 
-@then("any bytes in a row give a text or an empty one")
+@then("any bytes in a row give their text or an empty one")
 def any_bytes(context):
     @hypothesis.given(st.binary(), st.text())
     def reads(data, raw):
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -31,7 +31,7 @@
 
 
 def instance(context, rate, queues):
-    """Make a store with a configuration, and an instance that has read nothing yet."""
+    """Create a store with a configuration, and an instance that has not read it."""
     context.platform = narrow.Platform(rate * 1000)
     context.add_cleanup(context.platform.close)
     configure(context, 1, queues)
@@ -41,7 +41,7 @@
         context.store, CONFIG, decoding.decode_catalog, clock, counted
     )
     jobs = job_service.JobService(context.store, context.catalog.stale, clock, counted)
-    #: Answers what peers pass on; the other one answers callers, and knows no peer.
+    #: Serves requests forwarded by peers; `front` serves callers, and knows no peer.
     context.app = ingress.Ingress(context.catalog, jobs, clock, counted).app
     own = peers.Peer("a", "127.0.0.1:9")
     known = peers.Peers(context.store, own, clock, counted, random.Random(5))
@@ -89,7 +89,7 @@
         context.platform.put("kind", part, f"k{number}", "x" * 3000)
 
 
-@given("its answers go silent after {count:d} KB")
+@given("its answers stall after {count:d} KB")
 def step_stall(context, count):
     context.platform.stall_after = count * 1000
 
@@ -101,8 +101,8 @@
     context.began_at = time.monotonic()
 
 
-@given("a configuration is in force everywhere within {seconds:g} s")
-def step_force(context, seconds):
+@given("a configuration must be in force everywhere within {seconds:g} s")
+def step_max_age(context, seconds):
     context.catalog.max_age = seconds
 
 
@@ -112,19 +112,19 @@
     return context.client.simulate_post(path, body=JOB).status_code == 200
 
 
-@then("the instance accepts jobs all the while until it goes by it")
+@then("the instance accepts jobs without a break until it applies it")
 def step_accepts(context):
     while context.catalog.version < context.version:
         assert accepts(context), time.monotonic() - context.began_at
         gevent.sleep(0.05)
-    # Until the next answer came, the one that took long was the latest.
+    # Until the next answer arrived, the slow one counted as the latest contact.
     until = time.monotonic() + 1.0
     while time.monotonic() < until:
         assert accepts(context), time.monotonic() - context.began_at
         gevent.sleep(0.05)
 
 
-@then("the instance refuses jobs from {seconds:g} s on until it goes by it")
+@then("the instance refuses jobs from {seconds:g} s on until it applies it")
 def step_refuses(context, seconds):
     gevent.sleep(context.began_at + seconds - time.monotonic())
     until = time.monotonic() + 1.0
@@ -134,7 +134,9 @@
     assert context.catalog.version < context.version
 
 
-@when("{known:d} callers name a queue that was added, {unknown:d} one that was not")
+@when(
+    "{known:d} callers name a queue that was added, {unknown:d} one that does not exist"
+)
 def step_name(context, known, unknown):
     wait_for(lambda: context.platform.sent > 100_000, 1.0)
     paths = [f"/q7/{number:016x}" for number in range(known)]
@@ -147,13 +149,13 @@
     context.expected = [200] * known + [404] * unknown
 
 
-@then("they are told so once the configuration has arrived")
-def step_told_so(context):
+@then("they get the right answers once the configuration has arrived")
+def step_right_answers(context):
     assert context.statuses == context.expected, context.statuses
     assert context.catalog.version == context.version
 
 
-@when("an instance starts to follow the configuration")
+@when("an instance starts to watch the configuration")
 def step_starts(context):
     follow(context)
 
@@ -173,15 +175,15 @@
     deadline = time.monotonic() + seconds
     while not done() and time.monotonic() < deadline:
         gevent.sleep(0.02)
-    assert done(), f"not within {seconds} s"
+    assert done(), f"condition not met within {seconds} s"
 
 
-@then("the instance goes by it within {seconds:g} s")
-def step_goes_by(context, seconds):
+@then("the instance applies it within {seconds:g} s")
+def step_applies(context, seconds):
     wait_for(lambda: context.catalog.version == context.version, seconds)
 
 
-@then("little more than the configuration was read once")
+@then("little more than one copy of the configuration was read")
 def step_once(context):
     assert context.platform.sent < 1.2 * context.size, context.platform.sent
 
@@ -192,8 +194,8 @@
     assert answer.json == {"state": "queued"}, answer.json
 
 
-@then("they have arrived whole")
-def step_whole(context):
+@then("they have arrived completely")
+def step_complete(context):
     assert context.found.is_ok(), context.found
     assert len(context.found.ok_value.rows) == context.rows
 
@@ -215,20 +217,20 @@
     )
 
 
-@when("it is looked at over its narrow link")
-def step_look(context):
+@when("it is polled over its slow link")
+def step_poll(context):
     context.began_at = time.monotonic()
     context.found = workers.HttpWorkers(4096).poll(context.entry, 3, 57, 486000, 0.6)
 
 
-@then("the look has failed within {seconds:g} s")
-@then("the reading has failed within {seconds:g} s")
+@then("the poll has failed within {seconds:g} s")
+@then("the read has failed within {seconds:g} s")
 def step_failed(context, seconds):
     assert context.found.is_err()
     assert time.monotonic() - context.began_at < seconds
 
 
-@then("the reason says how much of the answer had come")
+@then("the reason says how much of the answer had arrived")
 def step_reason(context):
     reason = context.found.err_value.reason
     received = int(re.search(r"after (\d+) bytes", reason)[1])
@@ -244,14 +246,14 @@
     context.found = reading.get()
 
 
-@then("the renewal was answered")
+@then("the renewal has succeeded")
 def step_renewal(context):
     assert context.renewed.is_ok(), context.renewed
 
 
 @when(
     "the configuration grows to {queues:d} queues and is written {count:d} times "
-    "while the instance hears nothing"
+    "while the instance does not watch it"
 )
 def step_missed(context, queues, count):
     context.following.kill()
@@ -261,21 +263,21 @@
     follow(context)
 
 
-@then("little more than the configuration was read once it goes by it")
+@then("little more than one copy of the configuration was read when it is applied")
 def step_newest(context):
     wait_for(lambda: context.catalog.version == context.version, 30.0)
     step_once(context)
 
 
-@when("the configuration grows to {queues:d} queues, without the one of the job")
+@when("the configuration grows to {queues:d} queues, without that of the job")
 def step_dropped(context, queues):
     # All of its queues are of another host.
     configure(context, 2, queues, "other.example")
     context.began_at = time.monotonic()
 
 
-@then("from {seconds:g} s on the instance does not tell how many jobs wait there")
-def step_not_told(context, seconds):
+@then("from {seconds:g} s on the instance does not return how many jobs wait there")
+def step_count_not_returned(context, seconds):
     gevent.sleep(context.began_at + seconds - time.monotonic())
     until = time.monotonic() + 1.0
     while time.monotonic() < until:
@@ -284,7 +286,7 @@
         gevent.sleep(0.05)
 
 
-@given("the instance answers what peers pass on")
+@given("the instance serves requests forwarded by peers")
 def step_for_peers(context):
     served = pywsgi.WSGIServer(("127.0.0.1", 0), context.app, log=None)
     served.start()
@@ -292,19 +294,19 @@
     context.peer_address = f"127.0.0.1:{served.server_port}"
 
 
-@when("a peer passes on a job for a queue that was added")
-def step_passed_on(context):
+@when("a peer forwards a job for a queue that was added")
+def step_forwarded(context):
     wait_for(lambda: context.platform.sent > 50_000, 5.0)
     request = relaying.Request("POST", HOST, "/q7/5c0e7a21d94b36f8", JOB.encode())
     context.found = peering.HttpPeers().send(context.peer_address, request)
 
 
-@then("the peer is told something")
-def step_told_something(context):
+@then("the peer gets an answer")
+def step_peer_answered(context):
     assert context.found.is_ok(), context.found
 
 
-@given("the connection on which it waits for changes goes silent")
+@given("the connection on which it waits for changes stalls")
 def step_feed_silent(context):
     context.platform.silent.add("/-/rows-feed")
     wait_for(lambda: not context.platform.silent, 5.0)
@@ -314,16 +316,16 @@
 def step_caller_names(context):
     asked_at = time.monotonic()
     context.client.simulate_post("/q7/5c0e7a21d94b36f8", body=JOB)
-    context.kept = time.monotonic() - asked_at
+    context.waited = time.monotonic() - asked_at
 
 
-@then("the caller was kept for at most {seconds:g} s")
-def step_caller_kept(context, seconds):
-    assert context.kept <= seconds, context.kept
+@then("the caller waited for at most {seconds:g} s")
+def step_caller_waited(context, seconds):
+    assert context.waited <= seconds, context.waited
 
 
 class Workers(narrow.Platform):
-    """Many workers at the far end of one narrow link, with the same ends each."""
+    """Many workers that share one slow link and report the same ends."""
 
     def serve(self, req, body):
         seen = json.loads(body)["last_seen"]
@@ -336,7 +338,7 @@
 
 
 @given(
-    "{count:d} workers that list {ends:d} ends each, and a leader that reads "
+    "{count:d} workers that report {ends:d} ends each, and a leader that reads "
     "{rate:d} KB a second"
 )
 def step_many_workers(context, count, ends, rate):
@@ -366,10 +368,10 @@
 def step_leads(context):
     rows = store.Store(context.platform.address)
     clock, counted = clocks.SystemClock(), counters.StatsdCounters(None, 0)
-    watching = leadership.Leadership(rows, "a", clock, counted, random.Random(1))
+    leader = leadership.Leadership(rows, "a", clock, counted, random.Random(1))
     held = None
     while held is None:
-        held = watching.check()
+        held = leader.check()
     catalog = decoding.decode_catalog(narrow.configuration(1, 1, HOST))
     context.scheduler = scheduler.Scheduler(
         rows,
@@ -387,9 +389,9 @@
     context.add_cleanup(leading.kill)
 
 
-@then("it has heard of each worker within {seconds:g} s")
-def step_heard(context, seconds):
-    def heard():
+@then("it has a report of each worker within {seconds:g} s")
+def step_reported(context, seconds):
+    def reported():
         return sum(worker.contacted for worker in context.scheduler.workers)
 
-    wait_for(lambda: heard() == context.workers, seconds)
+    wait_for(lambda: reported() == context.workers, seconds)
--- a/tests/adapter/steps/narrow_uplinks_steps.py
+++ b/tests/adapter/steps/narrow_uplinks_steps.py
@@ -13,8 +13,8 @@
 from mangosail.telemetry import counters
 
 BYTES = {"B": 1, "KB": 1000}
-#: Seconds between looks at what is kept.
-LOOK_INTERVAL = 0.01
+#: Interval in seconds for checking what is stored.
+POLL_INTERVAL_S = 0.01
 STEP = messages.Step(1, None)
 
 
@@ -39,7 +39,7 @@
 
 
 def changed_job(number, size):
-    """Return a job whose record takes about `size` bytes: its checkpoint does."""
+    """Return a job with a record of about `size` bytes, most of it its checkpoint."""
     job = progress.JobProgress(
         messages.Job(f"{number:016x}", "q", "pool", "spec", (STEP,), 0.0)
     )
@@ -49,7 +49,7 @@
     return job
 
 
-def kept(context, job):
+def is_stored(context, job):
     row = context.platform.rows.get(("state", keys.SHARD, job.job.job_id))
     return row is not None
 
@@ -59,20 +59,20 @@
     context.size = size * BYTES[unit]
     context.jobs = [changed_job(number, context.size) for number in range(count)]
     context.platform.carried = 0
-    writing = gevent.spawn(context.journal.run)
-    context.add_cleanup(writing.kill)
+    writer = gevent.spawn(context.journal.run)
+    context.add_cleanup(writer.kill)
     for job in context.jobs:
         context.journal.record(job)
-        context.journal.when_durable(lambda job=job: called_back(context, job))
+        context.journal.when_durable(lambda job=job: on_stored(context, job))
 
 
-def called_back(context, job):
-    assert kept(context, job), job.job.job_id
+def on_stored(context, job):
+    assert is_stored(context, job), job.job.job_id
     context.called.append(job.job.job_id)
 
 
-def look(context):
-    """Note when the lease was renewed."""
+def record_renewal(context):
+    """Record the time of a renewal of the lease."""
     row = context.platform.rows["leader", keys.SHARD, "lease"]
     lease = json.loads(base64.b64decode(row["value"]))
     if lease["renewals"] != context.seen:
@@ -80,18 +80,18 @@
         context.renewals.append(time.monotonic())
 
 
-@then("all of them are kept within {seconds:d} s")
-def step_kept(context, seconds):
+@then("all of them are stored within {seconds:d} s")
+def step_stored(context, seconds):
     deadline = time.monotonic() + seconds
     while len(context.called) < len(context.jobs) and time.monotonic() < deadline:
-        gevent.sleep(LOOK_INTERVAL)
-        look(context)
-    missing = sum(not kept(context, job) for job in context.jobs)
-    assert not missing, f"{missing} not kept, {context.platform.carried} bytes carried"
+        gevent.sleep(POLL_INTERVAL_S)
+        record_renewal(context)
+    missing = sum(not is_stored(context, job) for job in context.jobs)
+    assert not missing, f"{missing} not stored, {context.platform.carried} bytes sent"
     context.renewals.append(time.monotonic())
 
 
-@then("the lease was never left for {seconds:g} s without a renewal")
+@then("the lease never went {seconds:g} s without a renewal")
 def step_renewed(context, seconds):
     gaps = [after - before for before, after in itertools.pairwise(context.renewals)]
     assert max(gaps) < seconds, gaps
@@ -99,11 +99,11 @@
 
 @then("little more than the records went over the link")
 def step_carried(context):
-    # Base64 takes 4 bytes for 3, the rest of a row's entry some hundred.
+    # Base64 takes 4 bytes for 3, and the rest of a row's entry some hundred bytes.
     least = len(context.jobs) * (context.size * 4 / 3 + 150)
     assert context.platform.carried < 1.2 * least + 10_000, context.platform.carried
 
 
-@then("each job was called back once, when it was kept")
+@then("the callback of each job ran once, after it was stored")
 def step_called(context):
     assert context.called == [job.job.job_id for job in context.jobs]
