--- a/deploy/serve.py
+++ b/deploy/serve.py
@@ -1,7 +1,10 @@
-"""Starts a process on the platform; kept out of the package so that the package's
-folder is not on the import path, where its `platform` would hide the library's."""
+"""Starts a process on the platform.
 
-# Sockets and sleeps must be gevent's before anything else is imported.
+A script inside the package would put the package's folder on the import path, where
+its `platform` hides the module of the standard library.
+"""
+
+# Must run before other imports, so that they get gevent's sockets and sleeps.
 from gevent import monkey
 
 monkey.patch_all()
--- a/tests/binary/binary.feature
+++ b/tests/binary/binary.feature
@@ -1,14 +1,14 @@
-Feature: One file
-  The program ships as one file, for instances that have no disk but a memory file
-  system, and starts no process.
+Feature: Single-file release
+  The program ships as a single file, for instances that have only an in-memory file
+  system, and starts no other process.
 
-  Scenario: The file serves as one process, from a memory file system
+  Scenario: The file serves as one process, from an in-memory file system
     Given the built file on an instance without the program's packages
     When it is started
     Then it serves a quote, as one process without a child
     And it has unpacked its packages and runs its own copy of the program
 
-  Scenario: The same sources give the same file
+  Scenario: The build is reproducible
     Given the built file on an instance without the program's packages
     When it is built again
-    Then both files are equal, byte for byte
+    Then both files are identical
--- a/tests/binary/measure.py
+++ b/tests/binary/measure.py
@@ -1,7 +1,7 @@
-"""Starts the built file on a stage and measures it: ``python -m tests.binary.measure``.
+"""Measures the built file in a test system: ``python -m tests.binary.measure``.
 
-The file runs under the interpreter that the virtual environment was made from, which
-has none of its packages, and unpacks to a folder of a memory file system.
+The file runs under the interpreter that the virtual environment was created from, which
+has none of its packages, and unpacks to a folder of an in-memory file system.
 """
 
 import os
@@ -13,7 +13,7 @@
 
 from tests.support import stage, teams
 
-MEMORY_FILES = "/dev/shm"
+MEMORY_FILE_SYSTEM = "/dev/shm"
 
 
 def build(folder):
@@ -29,10 +29,12 @@
 
 
 class Binary:
-    """The built file, where it unpacks, and a stage to run it on."""
+    """The built file, the folder it unpacks to, and a test system to run it in."""
 
     def __init__(self):
-        self.folder = tempfile.TemporaryDirectory(prefix="mangosail-", dir=MEMORY_FILES)
+        self.folder = tempfile.TemporaryDirectory(
+            prefix="mangosail-", dir=MEMORY_FILE_SYSTEM
+        )
         self.root = pathlib.Path(self.folder.name) / "unpacked"
         self.file = build(self.folder.name)
         self.stage = stage.Stage()
@@ -41,7 +43,7 @@
         self.stage.start_workers("shymkent", 1)
 
     def start(self, name):
-        """Start an instance and return (process, seconds until it answers)."""
+        """Start an instance; return its process and the seconds until it answered."""
         http, peer = stage.free_address(), stage.free_address()
         self.stage.instances[name] = http
         started = time.monotonic()
@@ -83,7 +85,7 @@
     return int(line.split()[1]) / 1024
 
 
-def megabytes(folder):
+def size_mb(folder):
     files = (path for path in folder.rglob("*") if path.is_file())
     return sum(path.stat().st_size for path in files) / 1e6
 
@@ -95,16 +97,16 @@
         binary.stage.wait_ready("cold-0")
         resident, found = resident_mb(process), children(process)
         binary.stage.kill("cold-0")
-        warm = sorted(timed(binary, f"warm-{n}") for n in range(5))
+        warm = sorted(start_time(binary, f"warm-{n}") for n in range(5))
         print(f"size {binary.file.stat().st_size / 1e6:.1f} MB")
-        print(f"unpacked {megabytes(binary.root):.1f} MB")
+        print(f"unpacked {size_mb(binary.root):.1f} MB")
         print(f"first start {cold:.2f} s, later starts {warm[2]:.2f} s (median of 5)")
         print(f"resident memory when ready {resident:.1f} MB, children {found}")
     finally:
         binary.close()
 
 
-def timed(binary, name):
+def start_time(binary, name):
     _, seconds = binary.start(name)
     binary.stage.kill(name)
     return seconds
--- a/tests/binary/steps/binary_steps.py
+++ b/tests/binary/steps/binary_steps.py
@@ -10,9 +10,9 @@
 def built(context):
     context.binary = measure.Binary()
     context.add_cleanup(context.binary.close)
-    bare = measure.command_of("-c", "import gevent")
-    # "-I" stands before "-c": the interpreter itself must lack the packages.
-    assert subprocess.run(bare, capture_output=True).returncode != 0
+    import_packages = measure.command_of("-c", "import gevent")
+    # With "-I" before "-c": the interpreter itself must lack the packages.
+    assert subprocess.run(import_packages, capture_output=True).returncode != 0
 
 
 @when("it is started")
@@ -49,6 +49,6 @@
     context.again = measure.build(folder)
 
 
-@then("both files are equal, byte for byte")
+@then("both files are identical")
 def equal(context):
     assert context.again.read_bytes() == context.binary.file.read_bytes()
--- a/tools/bundle.py
+++ b/tools/bundle.py
@@ -1,8 +1,8 @@
-"""Builds the one file that ships: ``python tools/bundle.py dist/mangosail.pyz``.
+"""Builds the single-file release: ``python tools/bundle.py dist/mangosail.pyz``.
 
-Needs no network: the program's packages, found from its own metadata, are copied
+Needs no network: the program's dependencies, found from its metadata, are copied
 from this interpreter's site-packages, and shiv packs them with the source. The
-same inputs give the same bytes.
+build is reproducible.
 """
 
 import importlib.metadata
@@ -15,16 +15,16 @@
 import tomllib
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
-#: Time stamp of all files in the bundle: 1 January 1980, the zip format's first.
+#: Timestamp of all files in the bundle: 1 January 1980, the earliest in a zip file.
 EPOCH = "315532800"
 
 
 def needed():
-    """Return the distributions that the program needs, and those they need."""
+    """Return the direct and transitive dependencies of the program."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-    found, waiting = {}, list(project["dependencies"])
-    while waiting:
-        requirement = waiting.pop()
+    found, pending = {}, list(project["dependencies"])
+    while pending:
+        requirement = pending.pop()
         if "extra ==" in requirement:
             continue
         name = re.match(r"[\w.-]+", requirement)[0].lower().replace("_", "-")
@@ -33,22 +33,22 @@
         try:
             found[name] = importlib.metadata.distribution(name)
         except importlib.metadata.PackageNotFoundError:
-            # Needed under a condition that does not hold here; pip left it out.
+            # Its environment marker does not hold here, so pip did not install it.
             if ";" not in requirement:
                 raise
             continue
-        waiting += found[name].requires or []
+        pending += found[name].requires or []
     return found.values()
 
 
 def copy(distribution, folder):
-    """Copy a distribution's files, but for its scripts, caches and tests."""
+    """Copy a distribution's files except its scripts, caches and tests."""
     for file in distribution.files or []:
         unwanted = {"..", "__pycache__", "tests", "testing"} & set(file.parts)
         if unwanted or file.suffix in (".pyx", ".c", ".h"):
             continue
         if file.name in ("RECORD", "INSTALLER", "REQUESTED"):
-            # They tell how it was installed here, which differs by machine.
+            # Records of the installation, which differ between machines.
             continue
         target = folder / file
         target.parent.mkdir(parents=True, exist_ok=True)
@@ -56,7 +56,7 @@
 
 
 def main():
-    """Build the bundle at the path that is given."""
+    """Build the bundle at the path in the first argument."""
     output = pathlib.Path(sys.argv[1]).resolve()
     output.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as scratch:
