--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs over HTTP, and the balancer's checks."""
+"""Handles callers' requests about jobs, and the load balancer's checks, over HTTP."""
 
 import collections.abc as cabc
 import typing as t
@@ -18,23 +18,23 @@
 
 log = logbook.Logger("ingress")
 
-#: Seconds in which a request's body must have come.
-BODY_TERM = 3.0
-#: Seconds after which a caller should come back to an instance without a catalog.
-COME_BACK = 0.5
+#: Timeout for receiving the body of a request, in seconds.
+BODY_TIMEOUT_S = 3.0
+#: Seconds after which a caller should retry at an instance without a current catalog.
+RETRY_AFTER_S = 0.5
 
-#: Seconds that may go into reading the newest catalog for a peer: half of what the peer
-#: waits.
-PEER_REFRESH_TERM = relaying.ANSWER_TIMEOUT_S / 2
-#: Seconds after its arrival at which a request's caller is gone.
-CALLER_TERM = 3.0
+#: Timeout in seconds for reading the newest catalog for a request from a peer: half of
+#: what the peer waits.
+PEER_REFRESH_TIMEOUT_S = relaying.ANSWER_TIMEOUT_S / 2
+#: Seconds after which the caller of a request has given up.
+CALLER_TIMEOUT_S = 3.0
 
-#: Answers a request about a job of a queue, whose id may be empty.
+#: Handles a request about a job of a queue; the job id may be empty.
 Method = cabc.Callable[[falcon.Request, falcon.Response, messages.Queue, str], None]
 
 
 class Ingress:
-    """Answers callers; `app` is its WSGI application."""
+    """Handles requests of callers; `app` is its WSGI application."""
 
     def __init__(
         self,
@@ -45,12 +45,14 @@
         relay: relaying.Relay | None = None,
     ) -> None:
         self.catalog = catalog
-        self.desk = jobs
-        #: Takes what can't be done here; None for what came from a peer already.
+        self.jobs = jobs
+        #: Forwards what cannot be done here; None for requests that came from a peer.
         self.relay = relay
-        #: Seconds that may go into reading the newest catalog. A peer takes silence for
-        #: an open outcome, and asks this instance last from then on.
-        self.refresh_term = catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TERM
+        #: Timeout in seconds for reading the newest catalog. A peer that gets no answer
+        #: in time treats the outcome as unknown, and then asks this instance last.
+        self.refresh_timeout = (
+            catalogs.REFRESH_TIMEOUT_S if relay else PEER_REFRESH_TIMEOUT_S
+        )
         self.clock = clock
         self.counters = counters
         self.methods: dict[str, Method] = {
@@ -60,25 +62,25 @@
         }
         self.app: t.Any = falcon.App()
         self.app.add_sink(self.dispatch, prefix="/")
-        self.app.add_error_handler(Exception, self.on_fault)
+        self.app.add_error_handler(Exception, self.on_exception)
 
     def dispatch(self, req: falcon.Request, resp: falcon.Response, **_: t.Any) -> None:
-        """Answer a request, by way of a peer if the store is out of reach."""
-        req.context.deadline = self.clock.elapsed() + CALLER_TERM
+        """Answer a request, through a peer if the store is unreachable."""
+        req.context.deadline = self.clock.elapsed() + CALLER_TIMEOUT_S
         self._answer(req, resp)
         if self.relay is None:
             resp.set_header("ETag", f'"{self.catalog.version}"')
         elif resp.context.get("away"):
-            self._pass_on(self.relay, req, resp)
+            self._forward(self.relay, req, resp)
 
-    def _pass_on(
+    def _forward(
         self, relay: relaying.Relay, req: falcon.Request, resp: falcon.Response
     ) -> None:
-        """Put a peer's answer in the place of the refusal, if a peer has one."""
-        body = self._body(req)
+        """Replace the refusal by a peer's answer, if a peer gives one."""
+        body = self._read_body(req)
         if isinstance(body, result.Err):
             resp.delete_header("Retry-After")
-            self._invalid(resp, body.err_value)
+            self._respond_invalid(resp, body.err_value)
             return
         request = relaying.Request(
             req.method,
@@ -95,39 +97,40 @@
                 version=self.catalog.version, age=self.catalog.age(),
             )  # fmt: skip
             return
-        if self._behind(answer):
+        if self._may_be_behind(answer):
             self.catalog.invalidate()
         resp.delete_header("Retry-After")
         if isinstance(answer, errors.Undecided):
-            self._failed(resp, answer)
+            self._respond_error(resp, answer)
             return
         resp.status = answer.status
         resp.text = answer.text
         if answer.refusal is not None:
             headers.set_retry_after(resp, answer.refusal.retry_after)
 
-    def _behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
-        """Tell whether a peer may have answered by a newer configuration.
+    def _may_be_behind(self, answer: relaying.Answer | errors.Undecided) -> bool:
+        """Tell whether a peer may have answered from a newer configuration.
 
-        In doubt after each peer's answer, an instance would pass callers on for ever
-        although its store is back: they come more often than it can read anew. By the
-        peer's version or a newer one, nothing that the peer said is taken back.
+        If each peer's answer invalidated the catalog, an instance would forward callers
+        for ever after its store is back, as they arrive more often than it can read the
+        catalog. With the peer's version or a newer one, it does not contradict what the
+        peer answered.
         """
         if isinstance(answer, errors.Undecided) or not answer.version:
             return True
         return answer.version > self.catalog.version
 
     def _answer(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Find the queue that a request is about, and answer it."""
+        """Find the queue of a request, and answer it."""
         if self.catalog.current() is None:
-            self.refuse(resp, "no_catalog", COME_BACK)
+            self.refuse(resp, "no_catalog", RETRY_AFTER_S)
             return
-        least = peering.version_of(req.get_header(peering.LEAST_VERSION))
+        least = peering.parse_version(req.get_header(peering.LEAST_VERSION))
         behind = self.catalog.invalidated or self.catalog.superseded()
         if behind or self.catalog.version < least:
-            self.refuse(resp, "catalog_stale", COME_BACK)
+            self.refuse(resp, "catalog_stale", RETRY_AFTER_S)
             return
-        queue = self._queue(req)
+        queue = self._find_queue(req)
         if isinstance(queue, result.Err):
             self.refuse(resp, queue.err_value.reason, queue.err_value.retry_after)
             return
@@ -144,16 +147,16 @@
         job_id = req.path[len(queue.ok_value.prefix) :]
         method(req, resp, queue.ok_value, job_id)
 
-    def _queue(
+    def _find_queue(
         self, req: falcon.Request
     ) -> result.Result[messages.Queue | None, errors.Refused]:
         host = req.host
         queue = self.catalog.find(host, req.path)
         if queue is not None:
             return result.Ok(queue)
-        # It may have been added just now: only a fresh catalog says that it is not.
-        if not self.catalog.refresh(self.refresh_term):
-            return result.Err(errors.Refused("catalog_stale", COME_BACK))
+        # The queue may be new: only a fresh catalog shows that it does not exist.
+        if not self.catalog.refresh(self.refresh_timeout):
+            return result.Err(errors.Refused("catalog_stale", RETRY_AFTER_S))
         return result.Ok(self.catalog.find(host, req.path))
 
     def on_post(
@@ -164,17 +167,17 @@
         job_id: str,
     ) -> None:
         """Accept a job."""
-        body = self._body(req)
+        body = self._read_body(req)
         if isinstance(body, result.Err):
-            self._invalid(resp, body.err_value)
+            self._respond_invalid(resp, body.err_value)
             return
-        job = decoding.job_of(body.ok_value, job_id, queue, self.clock.wall())
+        job = decoding.decode_job(body.ok_value, job_id, queue, self.clock.wall())
         if isinstance(job, result.Err):
-            self._invalid(resp, job.err_value)
+            self._respond_invalid(resp, job.err_value)
             return
-        done = self.desk.submit(job.ok_value)
+        done = self.jobs.submit(job.ok_value)
         if isinstance(done, result.Err):
-            self._failed(resp, done.err_value)
+            self._respond_error(resp, done.err_value)
 
     def on_get(
         self,
@@ -183,17 +186,17 @@
         queue: messages.Queue,
         job_id: str,
     ) -> None:
-        """Tell a job's state, or how many jobs of a queue wait."""
+        """Return a job's state, or the number of waiting jobs of a queue."""
         if not job_id:
-            pending = self.desk.pending(queue.name)
+            pending = self.jobs.pending(queue.name)
             if isinstance(pending, result.Err):
-                self._failed(resp, pending.err_value)
+                self._respond_error(resp, pending.err_value)
                 return
             resp.text = codec.to_json(wire.PendingPage(pending.ok_value))
             return
-        state = self.desk.state(job_id)
+        state = self.jobs.state(job_id)
         if isinstance(state, result.Err):
-            self._failed(resp, state.err_value)
+            self._respond_error(resp, state.err_value)
             return
         resp.text = codec.to_json(wire.StatePage(state.ok_value.value))
 
@@ -205,39 +208,41 @@
         job_id: str,
     ) -> None:
         """Cancel a job."""
-        done = self.desk.cancel(job_id)
+        done = self.jobs.cancel(job_id)
         if isinstance(done, result.Err):
-            self._failed(resp, done.err_value)
+            self._respond_error(resp, done.err_value)
 
-    def _body(self, req: falcon.Request) -> result.Result[bytes, errors.Invalid]:
-        """Return the body, which is read once, however often it is asked for."""
+    def _read_body(self, req: falcon.Request) -> result.Result[bytes, errors.Invalid]:
+        """Return the body, which is read once and then cached."""
         if "body" in req.context:
             return result.Ok(req.context.body)
         catalog = self.catalog.current()
         limits = catalog.limits if catalog else messages.Limits()
-        most = limits.body_bytes
-        if (req.content_length or 0) > most:
-            return result.Err(errors.Invalid(f"body: more than {most} bytes"))
-        with gevent.Timeout(BODY_TERM, False):
-            data = req.bounded_stream.read(most + 1)
-            if len(data) > most:
-                return result.Err(errors.Invalid(f"body: more than {most} bytes"))
+        max_bytes = limits.body_bytes
+        if (req.content_length or 0) > max_bytes:
+            return result.Err(errors.Invalid(f"body: more than {max_bytes} bytes"))
+        with gevent.Timeout(BODY_TIMEOUT_S, False):
+            data = req.bounded_stream.read(max_bytes + 1)
+            if len(data) > max_bytes:
+                return result.Err(errors.Invalid(f"body: more than {max_bytes} bytes"))
             req.context.body = data
             return result.Ok(data)
         return result.Err(errors.Invalid("body: did not come in time"))
 
-    def _invalid(self, resp: falcon.Response, invalid: errors.Invalid) -> None:
+    def _respond_invalid(self, resp: falcon.Response, invalid: errors.Invalid) -> None:
         self.counters.count("ingress.refused.invalid")
         resp.status = falcon.HTTP_BAD_REQUEST
         resp.text = codec.to_json({"title": "invalid", "description": invalid.fault})
 
-    def _failed(self, resp: falcon.Response, error: job_service.ChangeError) -> None:
+    def _respond_error(
+        self, resp: falcon.Response, error: job_service.ChangeError
+    ) -> None:
         if isinstance(error, errors.UnknownJob):
             self.counters.count("ingress.unknown_job")
             resp.status = falcon.HTTP_GONE
             resp.text = codec.to_json({"title": "unknown_job"})
         elif isinstance(error, errors.Undecided):
-            # Neither a success nor a refusal would be true: it may yet be stored.
+            # Neither success nor refusal would be correct: it may still be stored.
             self.counters.count("ingress.undecided")
             resp.status = falcon.HTTP_GATEWAY_TIMEOUT
             resp.text = codec.to_json({"title": "undecided"})
@@ -245,7 +250,7 @@
             self.refuse(resp, error.reason, error.retry_after)
 
     def refuse(self, resp: falcon.Response, reason: str, retry_after: float) -> None:
-        """Say that nothing was done, and when to come back."""
+        """Report that nothing was done, and when to retry."""
         self.counters.count(f"ingress.refused.{reason}")
         resp.context.reason = reason
         resp.context.away = reason in errors.LOCAL_REASONS
@@ -253,10 +258,10 @@
         resp.text = codec.to_json({"title": reason, "retry_after": retry_after})
         headers.set_retry_after(resp, retry_after)
 
-    def on_fault(
+    def on_exception(
         self, req: falcon.Request, resp: falcon.Response, ex: Exception, params: t.Any
     ) -> None:
-        """Answer a fault of the program; whether anything was stored is not known."""
+        """Answer an internal error; whether anything was stored is unknown."""
         if isinstance(ex, falcon.HTTPError | falcon.HTTPStatus):
             raise ex
         self.counters.count("ingress.internal_error")
@@ -264,17 +269,17 @@
 
 
 class Readiness:
-    """Answers the balancer's checks; `app` is its WSGI application."""
+    """Answers the load balancer's checks; `app` is its WSGI application."""
 
     def __init__(self, catalog: catalogs.Catalogs) -> None:
         self.catalog = catalog
-        #: True once a planned stop has begun.
+        #: True once a planned shutdown has begun.
         self.draining = False
         self.app: t.Any = falcon.App()
         self.app.add_sink(self.check, prefix="/")
 
     def ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Tell whether this instance should get requests."""
         if self.draining or self.catalog.current() is None:
             return False
         return not self.catalog.stale()
