--- a/src/mangosail/cli/settings.py
+++ b/src/mangosail/cli/settings.py
@@ -173,7 +173,7 @@
 def new_token(name: str, operator: bool = False) -> None:
     """Generate a token and print it together with its entry for the settings."""
     token = secrets.token_urlsafe(32)
-    entry = schema.Token(name=name, sha256=state.digest_of(token), operator=operator)
+    entry = schema.Token(name=name, sha256=state.token_digest(token), operator=operator)
     typer.echo(f"token: {token}")
     typer.echo(f"entry: {codec.to_json(entry.model_dump())}")
 
--- a/src/mangosail/front/context.py
+++ b/src/mangosail/front/context.py
@@ -64,7 +64,7 @@
         if scheme.lower() != "bearer" or not token:
             raise falcon.HTTPUnauthorized(title="token_missing")
         identity = self.settings.identify(token)
-        if identity is None and not self.settings.were_read():
+        if identity is None and not self.settings.have_been_read():
             # The token may be valid: reporting it as unknown would make an operator
             # look for a revoked token.
             raise falcon.HTTPServiceUnavailable(
--- a/src/mangosail/front/settings.py
+++ b/src/mangosail/front/settings.py
@@ -17,7 +17,7 @@
 
 from mangosail import codec
 from mangosail.front import context
-from mangosail.settings import changes, checks, errors, messages, spread, state
+from mangosail.settings import changes, checks, errors, exchange, messages, state
 
 #: Names of teams and change ids; both become parts of row keys.
 TEAM_NAME_PATTERN = re.compile("[a-z0-9][a-z0-9-]{0,62}")
@@ -67,7 +67,7 @@
         self,
         front: context.Front,
         change_rows: changes.Changes,
-        spreading: spread.Spread,
+        spreading: exchange.SettingsExchange,
         admin_token_sha256: str | None,
     ) -> None:
         self.front = front
@@ -80,7 +80,7 @@
         scheme, _, token = (req.auth or "").partition(" ")
         if scheme.lower() != "bearer" or self.admin_token_sha256 is None:
             return False
-        return hmac.compare_digest(state.digest_of(token), self.admin_token_sha256)
+        return hmac.compare_digest(state.token_digest(token), self.admin_token_sha256)
 
     def author(self, req: falcon.Request, team: str) -> str:
         """Return the author to record for changes to `team`, or refuse the request."""
@@ -230,7 +230,7 @@
         subtree.change_id,
         subtree.author,
         subtree.changed_at,
-        checks.without_hashes(subtree.content),
+        checks.without_token_hashes(subtree.content),
         read_from,
         subtree.changed,
     )
--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -30,10 +30,10 @@
 from mangosail.membership import peers as membership
 from mangosail.ownership import connector, monitoring, owners, session, session_observer
 from mangosail.placement import placer, workers
-from mangosail.platform import batching, listed
+from mangosail.platform import batching, inventory_cache
 from mangosail.platform import caller as platform_caller
 from mangosail.platform import http as platform_http
-from mangosail.settings import changes, process, spread, state
+from mangosail.settings import changes, exchange, process, state
 from mangosail.settings import methods as settings_methods
 from mangosail.telemetry import counters as telemetry
 from mangosail.tls import keys
@@ -71,7 +71,9 @@
         )
         self.table = platform_http.HttpTable(caller)
         self.objects = platform_http.HttpObjects(caller)
-        self.listed = listed.Listed(platform_http.HttpInventory(caller))
+        self.listed = inventory_cache.InventoryCache(
+            platform_http.HttpInventory(caller)
+        )
         self.group_commit = batching.GroupCommit(
             self.table, self.counters, self.process_settings.commit_window
         )
@@ -91,8 +93,8 @@
 
         It can't while the table is unreachable: a watch would wait for 5 s in vain.
         """
-        listed = self.listed.live(self.process_settings.data_centre)
-        return bool(listed) and self.lease.may_claim()
+        inventory_cache = self.listed.live_workers(self.process_settings.data_centre)
+        return bool(inventory_cache) and self.lease.may_claim()
 
     def _create_peers(self) -> None:
         """Create the components that communicate with peers."""
@@ -104,7 +106,7 @@
             self.counters,
             self.keys,
         )
-        self.spread = spread.Spread(
+        self.spread = exchange.SettingsExchange(
             self.settings, self.peers, self.process_settings.data_centre, self.counters
         )
 
@@ -137,7 +139,7 @@
                 self.peers, self.process_settings.data_centre, self.clock, self.counters
             ),
             store=self.objects,
-            is_worker_gone=self.listed.gone,
+            is_worker_gone=self.listed.is_worker_gone,
         )
         self.worker_monitors = monitoring.WorkerMonitors(
             self.workers,
@@ -288,7 +290,7 @@
             front_methods.DESCRIBE.with_handler(front.describe),
             work_methods.SUBMIT.with_handler(self.runner.submit_for_peer),
             work_methods.CANCEL.with_handler(self.runner.cancel_for_peer),
-            settings_methods.SINCE.with_handler(self.spread.tell),
+            settings_methods.SINCE.with_handler(self.spread.handle_since),
             job_methods.OFFER.with_handler(self.offers.accept),
             job_methods.TASK_ENDED.with_handler(self.jobs.task_ended),
         )
@@ -300,7 +302,7 @@
         gevent.spawn(self.group_commit.run)
         periodic_tasks.start(self.runner.sweep, REFRESH_INTERVAL_S)
         periodic_tasks.start(self.settings.refresh, REFRESH_INTERVAL_S)
-        periodic_tasks.start(self.spread.learn, spread.LEARN_INTERVAL)
+        periodic_tasks.start(self.spread.fetch_from_peers, exchange.LEARN_INTERVAL_S)
         gevent.spawn(self.jobs.place_forever)
         if self.process_settings.control is process.Control.ON:
             periodic_tasks.start(self.control.step, loop.INTERVAL_S)
--- a/src/mangosail/membership/rpc.py
+++ b/src/mangosail/membership/rpc.py
@@ -96,7 +96,7 @@
 ) -> cabc.Callable[..., t.Any]:
     def serve_call(message: t.Any, context: grpc.ServicerContext) -> t.Any:
         if known is not None:
-            names = tls_peers.proved(context)
+            names = tls_peers.verified_names(context)
             if not tls_peers.is_sender(message, names, known):
                 context.abort(grpc.StatusCode.PERMISSION_DENIED, "not the sender")
         return method(message)
--- a/src/mangosail/platform/batching.py
+++ b/src/mangosail/platform/batching.py
@@ -60,12 +60,12 @@
         rows: table.Table,
         counters: telemetry.Counters,
         window: float = WINDOW_S,
-        longest_queue: int = MAX_QUEUE_LENGTH,
+        max_queue_length: int = MAX_QUEUE_LENGTH,
     ) -> None:
         self.rows = rows
         self.counters = counters
         self.window = window
-        self.longest_queue = longest_queue
+        self.max_queue_length = max_queue_length
         self.queue: list[QueuedTransaction] = []
         self.not_empty = gevent.event.Event()
 
@@ -85,7 +85,7 @@
         self, transaction: table.Transaction
     ) -> result.Result[int, errors.CommitError]:
         """Apply `transaction` in the next group and return its version."""
-        if len(self.queue) >= self.longest_queue:
+        if len(self.queue) >= self.max_queue_length:
             return self._refuse_busy()
         deadline = time.monotonic() + MAX_WAIT_S
         waiting = QueuedTransaction(transaction, gevent.event.AsyncResult(), deadline)
--- a/src/mangosail/platform/ingress.py
+++ b/src/mangosail/platform/ingress.py
@@ -125,7 +125,7 @@
         if self.catalog.current() is None:
             self.refuse(resp, "no_catalog", RETRY_AFTER_S)
             return
-        least = peering.parse_version(req.get_header(peering.LEAST_VERSION))
+        least = peering.parse_version(req.get_header(peering.MIN_VERSION_HEADER))
         behind = self.catalog.invalidated or self.catalog.superseded()
         if behind or self.catalog.version < least:
             self.refuse(resp, "catalog_stale", RETRY_AFTER_S)
--- a/src/mangosail/platform/listed.py
+++ b/src/mangosail/platform/inventory_cache.py
@@ -6,7 +6,7 @@
 from mangosail.platform import inventory
 
 
-class Listed:
+class InventoryCache:
     """The newest list, which is kept while the platform is unreachable."""
 
     def __init__(self, source: inventory.Inventory) -> None:
@@ -25,7 +25,7 @@
         """Return the capacities of the listed workers of all data centres."""
         return [worker.capacity for worker in self.listing.workers]
 
-    def live(self, data_centre: str) -> list[inventory.Worker]:
+    def live_workers(self, data_centre: str) -> list[inventory.Worker]:
         """Return the live workers of a data centre."""
         return [
             worker
@@ -34,17 +34,17 @@
             and worker.standing is inventory.Standing.LIVE
         ]
 
-    def leaving(self) -> list[inventory.Worker]:
+    def leaving_workers(self) -> list[inventory.Worker]:
         """Return the workers that are leaving or gone."""
         live = inventory.Standing.LIVE
         return [w for w in self.listing.workers if w.standing is not live]
 
-    def present(self) -> list[str]:
+    def instance_names(self) -> list[str]:
         """Return the names of the instances that are not gone."""
         gone = inventory.Standing.GONE
         return [e.name for e in self.listing.instances if e.standing is not gone]
 
-    def gone(self, worker: str) -> bool:
+    def is_worker_gone(self, worker: str) -> bool:
         """Tell whether the platform lists `worker` as gone."""
         return any(
             listed.name == worker and listed.standing is inventory.Standing.GONE
--- a/src/mangosail/platform/peering.py
+++ b/src/mangosail/platform/peering.py
@@ -16,7 +16,7 @@
 MAX_CALLERS = 64
 #: Header with the minimum version of the configuration that a peer must have. The
 #: `ETag` of its answer is the version that it used.
-LEAST_VERSION = "Mangosail-Least-Version"
+MIN_VERSION_HEADER = "Mangosail-Least-Version"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         headers = {
             "Host": request.host,
             "Content-Type": "application/json",
-            LEAST_VERSION: str(request.min_version),
+            MIN_VERSION_HEADER: str(request.min_version),
         }
         answer = self.callers.get(address, address).call(
             request.method,
@@ -51,13 +51,13 @@
             total_timeout=relaying.ANSWER_TIMEOUT_S,
         )
         if isinstance(answer, result.Ok):
-            return result.Ok(answer_of(answer.ok_value))
+            return result.Ok(to_answer(answer.ok_value))
         if isinstance(answer.err_value, errors.Unavailable):
             return result.Err(relaying.NotSent())
         return result.Err(relaying.Unanswered())
 
 
-def answer_of(reply: http_caller.Reply) -> relaying.Answer:
+def to_answer(reply: http_caller.Reply) -> relaying.Answer:
     """Convert the reply of a peer."""
     text = reply.body.decode(errors="replace")
     refusal = decode_refusal(text) if reply.status == relaying.REFUSED_STATUS else None
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -147,7 +147,7 @@
             self.clock,
             self.counters,
             self.catalog.closed_data_centres,
-            worker_limit.max_workers(self.leadership.cores, self.workers.most),
+            worker_limit.max_workers(self.leadership.cores, self.workers.max_workers),
             self.settings.bounds.hold_max_ms / 1000,
         )
         monitor = gevent.spawn(self.leadership.release_when_slow, self.scheduler.stop)
--- a/src/mangosail/platform/table.py
+++ b/src/mangosail/platform/table.py
@@ -18,7 +18,7 @@
 #: The version of a row that does not exist.
 ABSENT = 0
 #: Maximum size of a row's value in bytes: in base64 the platform's limit of 65,536.
-MOST_VALUE = 49_152
+MAX_VALUE_BYTES = 49_152
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/mangosail/platform/workers.py
+++ b/src/mangosail/platform/workers.py
@@ -57,8 +57,8 @@
     def __init__(self, descriptors: int) -> None:
         each = POLL_CONNECTIONS + MIN_ORDER_CONNECTIONS
         #: Number of workers for which the file descriptors suffice.
-        self.most = max((descriptors - RESERVED_DESCRIPTORS) // each, 1)
-        kept = self.most + MAX_GONE_WORKERS
+        self.max_workers = max((descriptors - RESERVED_DESCRIPTORS) // each, 1)
+        kept = self.max_workers + MAX_GONE_WORKERS
         budget = int(descriptors * ORDER_SHARE)
         self.order_callers = http_caller.Callers(ORDER_CONNECTIONS, kept, budget)
         self.poll_callers = http_caller.Callers(POLL_CONNECTIONS, kept)
--- a/src/mangosail/scheduler/progress.py
+++ b/src/mangosail/scheduler/progress.py
@@ -513,7 +513,7 @@
     meantime from the beginning.
     """
     text = encode(job.record())
-    if len(text.encode()) <= table.MOST_VALUE:
+    if len(text.encode()) <= table.MAX_VALUE_BYTES:
         return text
     return encode(job.record(checkpoints=False))
 
--- a/src/mangosail/scheduler/sizes.py
+++ b/src/mangosail/scheduler/sizes.py
@@ -26,7 +26,7 @@
 
 def spare_bytes(job: messages.Job) -> int:
     """Return the bytes that a job's record has for tasks that are not done."""
-    return table.MOST_VALUE - FRAME_BYTES - done_bytes(job)
+    return table.MAX_VALUE_BYTES - FRAME_BYTES - done_bytes(job)
 
 
 def done_bytes(job: messages.Job) -> int:
@@ -53,8 +53,8 @@
     record, and its caller would retry forever as if the store were unavailable.
     """
     size = len(codec.to_json(job).encode())
-    if size > table.MOST_VALUE:
-        return f"steps: {size} bytes to keep, at most {table.MOST_VALUE}"
+    if size > table.MAX_VALUE_BYTES:
+        return f"steps: {size} bytes to keep, at most {table.MAX_VALUE_BYTES}"
     space = spare_bytes(job) - MIN_SPARE_BYTES
     if space < 0:
         return "steps, repeat_count: too many to keep what is done of them"
--- a/src/mangosail/settings/checks.py
+++ b/src/mangosail/settings/checks.py
@@ -90,7 +90,7 @@
     return {**entry, "sha256": known} if known else entry
 
 
-def without_hashes(content: dict[str, t.Any]) -> dict[str, t.Any]:
+def without_token_hashes(content: dict[str, t.Any]) -> dict[str, t.Any]:
     """Return `content` without token hashes, as operators may see it."""
     if "tokens" not in content:
         return content
--- a/src/mangosail/settings/spread.py
+++ b/src/mangosail/settings/exchange.py
@@ -16,7 +16,7 @@
 from mangosail.telemetry import counters as telemetry
 
 #: Seconds between checks whether a peer has later settings.
-LEARN_INTERVAL = 0.5
+LEARN_INTERVAL_S = 0.5
 #: Seconds after which a peer's answer is no longer awaited.
 LEARN_TIMEOUT_S = 2.0
 #: Seconds after its start for which an instance that has heard from no peer makes
@@ -50,7 +50,7 @@
     instances: tuple[InstanceRollout, ...]
 
 
-class Spread:
+class SettingsExchange:
     """Fetches settings from peers and reports the rollout of changes."""
 
     def __init__(
@@ -66,7 +66,7 @@
         self.counters = counters
         in_force.peers_deadline = in_force.clock.monotonic() + PEER_WAIT_S
 
-    def learn(self) -> None:
+    def fetch_from_peers(self) -> None:
         """Fetch missing changes from the peers with the highest sequence numbers."""
         ahead = sorted(
             (-peer.state.settings_sequence, peer.listed.name, peer)
@@ -90,7 +90,7 @@
             else:
                 self.counters.count(f"settings.learn_failed.{answer.err_value}")
 
-    def tell(self, message: messages.Since) -> messages.Delta:
+    def handle_since(self, message: messages.Since) -> messages.Delta:
         """Return the settings changed after a peer's sequence number."""
         return self.in_force.since(message.sequence)
 
--- a/src/mangosail/settings/state.py
+++ b/src/mangosail/settings/state.py
@@ -158,7 +158,7 @@
         log.info("in force", team=subtree.team, revision=subtree.revision)
         return True
 
-    def were_read(self) -> bool:
+    def have_been_read(self) -> bool:
         """Return whether this process has read teams' settings from the table."""
         return self.read_at is not None and bool(self.by_team)
 
@@ -174,7 +174,7 @@
 
     def identify(self, token: str) -> Identity | None:
         """Return the owner of `token`, or None if it is unknown."""
-        return self.identity_by_digest.get(digest_of(token))
+        return self.identity_by_digest.get(token_digest(token))
 
     def urgent_jobs(self, team: str) -> bool:
         """Return whether a team may submit urgent jobs."""
@@ -316,7 +316,7 @@
             )
 
 
-def digest_of(token: str) -> str:
+def token_digest(token: str) -> str:
     """Return the SHA-256 of a token, which is stored in its place."""
     return hashlib.sha256(token.encode()).hexdigest()
 
--- a/src/mangosail/tls/peers.py
+++ b/src/mangosail/tls/peers.py
@@ -41,7 +41,7 @@
     return grpc.secure_channel(address, credentials, options=named)
 
 
-def proved(context: grpc.ServicerContext) -> set[str]:
+def verified_names(context: grpc.ServicerContext) -> set[str]:
     """Return the names in the caller's verified certificate."""
     found = context.auth_context().get(SAN_PROPERTY, ())
     return {name.decode() for name in found}
--- a/src/mangosail/upkeep.py
+++ b/src/mangosail/upkeep.py
@@ -12,7 +12,7 @@
 from mangosail.membership import peers as membership
 from mangosail.ownership import owners
 from mangosail.placement import workers
-from mangosail.platform import errors, listed
+from mangosail.platform import errors, inventory_cache
 from mangosail.telemetry import counters as telemetry
 
 log = logbook.Logger("upkeep")
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        listing: listed.Listed,
+        listing: inventory_cache.InventoryCache,
         ownership: owners.Owners,
         owned_workers: workers.Workers,
         peers: membership.Peers,
@@ -73,11 +73,11 @@
         """Read the platform's list, then acquire and give up workers accordingly."""
         if self.listed.refresh():
             self.peers.update(self.listed.listing.instances)
-            self.owners.absences.update(self.listed.present())
+            self.owners.absences.update(self.listed.instance_names())
             self._mark_leaving()
         if self.front.draining:
             return
-        self.owners.refresh(self.listed.live(self.peers.data_centre))
+        self.owners.refresh(self.listed.live_workers(self.peers.data_centre))
         self.front.ready = bool(self.front.settings.by_team) and self._can_serve()
 
     def _can_serve(self) -> bool:
@@ -92,7 +92,7 @@
 
     def _mark_leaving(self) -> None:
         """Stop sending new work to workers that the platform lists as leaving."""
-        for worker in self.listed.leaving():
+        for worker in self.listed.leaving_workers():
             owned = self.owned_workers.get(worker.name)
             if owned is not None:
                 owned.leaving = True
--- a/tests/intake/steps/relaying_steps.py
+++ b/tests/intake/steps/relaying_steps.py
@@ -63,12 +63,12 @@
         context.asked.append(address)
         if send is not None:
             return send(request)
-        least = {peering.LEAST_VERSION: str(request.min_version)}
+        least = {peering.MIN_VERSION_HEADER: str(request.min_version)}
         answer = context.peer.ask(
             request.method, request.path, request.body, {"Host": HOST, **least}
         )
         reply = caller.Reply(answer.status_code, answer.content, answer.headers["ETag"])
-        return result.Ok(peering.answer_of(reply))
+        return result.Ok(peering.to_answer(reply))
 
     stats = counters.StatsdCounters(None, 0)
     first = peers.Peer("a", "a:1")
--- a/tests/scheduler/steps/reach_steps.py
+++ b/tests/scheduler/steps/reach_steps.py
@@ -25,7 +25,8 @@
 )
 def step_bound(context, cores, descriptors, count):
     assert (
-        worker_limit.max_workers(cores, workers.HttpWorkers(descriptors).most) == count
+        worker_limit.max_workers(cores, workers.HttpWorkers(descriptors).max_workers)
+        == count
     )
 
 
--- a/tests/settings/steps/machine_steps.py
+++ b/tests/settings/steps/machine_steps.py
@@ -10,7 +10,7 @@
 
 from mangosail import codec
 from mangosail.platform import table as tables
-from mangosail.settings import changes, errors, messages, process, spread, state
+from mangosail.settings import changes, errors, exchange, messages, process, state
 from mangosail.telemetry import counters
 
 
@@ -169,7 +169,7 @@
     )
     context.peers = [peer]
     reachable = types.SimpleNamespace(reachable=lambda: context.peers)
-    context.spread = spread.Spread(
+    context.spread = exchange.SettingsExchange(
         context.held, reachable, "shymkent", context.held.counters
     )
 
@@ -184,7 +184,7 @@
 
 def learn_and_refresh(context, count):
     for _ in range(count):
-        context.spread.learn()
+        context.spread.fetch_from_peers()
         context.held.refresh().unwrap()
 
 
--- a/tests/work/steps/promise_steps.py
+++ b/tests/work/steps/promise_steps.py
@@ -129,7 +129,9 @@
     for key in present:
         world.rows[key] = table.Row(key, "{}", 7)
     counts = counters.StatsdCounters(None, 0)
-    rows = batching.GroupCommit(fakes.Table(world), counts, longest_queue=longest_queue)
+    rows = batching.GroupCommit(
+        fakes.Table(world), counts, max_queue_length=longest_queue
+    )
     waiting = [gevent.spawn(rows.commit, claim(f"k{n}")) for n in range(count)]
     gevent.idle()
     rows.commit_group()
