--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -93,8 +93,8 @@
 
         It can't while the table is unreachable: a watch would wait for 5 s in vain.
         """
-        inventory_cache = self.listed.live_workers(self.process_settings.data_centre)
-        return bool(inventory_cache) and self.lease.may_claim()
+        listed = self.listed.live_workers(self.process_settings.data_centre)
+        return bool(listed) and self.lease.may_claim()
 
     def _create_peers(self) -> None:
         """Create the components that communicate with peers."""
