--- a/src/mangosail/instance.py
+++ b/src/mangosail/instance.py
@@ -71,7 +71,7 @@
         )
         self.table = platform_http.HttpTable(caller)
         self.objects = platform_http.HttpObjects(caller)
-        self.listed = inventory_cache.InventoryCache(
+        self.inventory = inventory_cache.InventoryCache(
             platform_http.HttpInventory(caller)
         )
         self.group_commit = batching.GroupCommit(
@@ -93,7 +93,7 @@
 
         It can't while the table is unreachable: a watch would wait for 5 s in vain.
         """
-        listed = self.listed.live_workers(self.process_settings.data_centre)
+        listed = self.inventory.live_workers(self.process_settings.data_centre)
         return bool(listed) and self.lease.may_claim()
 
     def _create_peers(self) -> None:
@@ -106,7 +106,7 @@
             self.counters,
             self.keys,
         )
-        self.spread = exchange.SettingsExchange(
+        self.settings_exchange = exchange.SettingsExchange(
             self.settings, self.peers, self.process_settings.data_centre, self.counters
         )
 
@@ -126,7 +126,7 @@
             self.clock,
             self.counters,
             quotas=self.settings.declared_quota,
-            capacities=self.listed.capacities,
+            capacities=self.inventory.capacities,
         )
         self.runner = runner.Runner(
             claims.Claims(self.group_commit),
@@ -139,7 +139,7 @@
                 self.peers, self.process_settings.data_centre, self.clock, self.counters
             ),
             store=self.objects,
-            is_worker_gone=self.listed.is_worker_gone,
+            is_worker_gone=self.inventory.is_worker_gone,
         )
         self.worker_monitors = monitoring.WorkerMonitors(
             self.workers,
@@ -230,16 +230,16 @@
                 counters=self.counters,
             ),
             peers=self.peers,
-            capacities=self.listed.capacities,
+            capacities=self.inventory.capacities,
         )
         self.administration = administration.Administration(
             self.front,
             self.changes,
-            self.spread,
+            self.settings_exchange,
             self.process_settings.admin_token_sha256,
         )
         self.upkeep = upkeep.Upkeep(
-            self.listed, self.owners, self.workers, self.peers, self.front
+            self.inventory, self.owners, self.workers, self.peers, self.front
         )
 
     def run(self) -> None:
@@ -290,7 +290,7 @@
             front_methods.DESCRIBE.with_handler(front.describe),
             work_methods.SUBMIT.with_handler(self.runner.submit_for_peer),
             work_methods.CANCEL.with_handler(self.runner.cancel_for_peer),
-            settings_methods.SINCE.with_handler(self.spread.handle_since),
+            settings_methods.SINCE.with_handler(self.settings_exchange.handle_since),
             job_methods.OFFER.with_handler(self.offers.accept),
             job_methods.TASK_ENDED.with_handler(self.jobs.task_ended),
         )
@@ -302,7 +302,9 @@
         gevent.spawn(self.group_commit.run)
         periodic_tasks.start(self.runner.sweep, REFRESH_INTERVAL_S)
         periodic_tasks.start(self.settings.refresh, REFRESH_INTERVAL_S)
-        periodic_tasks.start(self.spread.fetch_from_peers, exchange.LEARN_INTERVAL_S)
+        periodic_tasks.start(
+            self.settings_exchange.fetch_from_peers, exchange.LEARN_INTERVAL_S
+        )
         gevent.spawn(self.jobs.place_forever)
         if self.process_settings.control is process.Control.ON:
             periodic_tasks.start(self.control.step, loop.INTERVAL_S)
--- a/src/mangosail/intake/catalogs.py
+++ b/src/mangosail/intake/catalogs.py
@@ -56,7 +56,7 @@
         #: Elapsed time at which a peer last answered on behalf of this instance.
         self.invalidated_at: float | None = None
         prefix = key[: key.rindex("/") + 1]
-        self.follower = row_watcher.RowWatcher(
+        self.watcher = row_watcher.RowWatcher(
             rows,
             prefix,
             self._apply_changes,
@@ -84,7 +84,7 @@
         """Return whether a peer may have a newer catalog than this instance."""
         if self.invalidated_at is None:
             return False
-        fresh_at = self.follower.fresh_at
+        fresh_at = self.watcher.fresh_at
         return fresh_at is None or fresh_at <= self.invalidated_at
 
     def current(self) -> messages.Catalog | None:
@@ -106,7 +106,7 @@
         that callers were refused meanwhile. An incomplete response is not waited for
         longer than `max_age`, within which a change must be in force.
         """
-        fresh_at, heard_at = self.follower.fresh_at, self.follower.last_data_at
+        fresh_at, heard_at = self.watcher.fresh_at, self.watcher.last_data_at
         if fresh_at is None:
             return True
         now = self.clock.elapsed()
@@ -115,7 +115,7 @@
 
     def age(self) -> float | None:
         """Return the seconds since the last confirmation as newest; None before it."""
-        fresh_at = self.follower.fresh_at
+        fresh_at = self.watcher.fresh_at
         if fresh_at is None:
             return None
         return round(self.clock.elapsed() - fresh_at, 3)
@@ -126,8 +126,8 @@
         By the current one, callers would be served from queues that were removed. An
         instance without contact to the store does not know of a newer catalog.
         """
-        fresh_at = self.follower.fresh_at
-        if fresh_at is None or not self.follower.active_responses:
+        fresh_at = self.watcher.fresh_at
+        if fresh_at is None or not self.watcher.active_responses:
             return False
         return self.clock.elapsed() - fresh_at > self.max_age
 
@@ -136,7 +136,7 @@
 
         A path that matches no queue may belong to a queue that was just added.
         """
-        return self.follower.refresh(timeout)
+        return self.watcher.refresh(timeout)
 
     def closed_data_centres(self) -> frozenset[str]:
         """Return the data centres to whose workers no work may be sent."""
--- a/src/mangosail/platform/process.py
+++ b/src/mangosail/platform/process.py
@@ -100,7 +100,7 @@
         """Serve until the process is stopped."""
         gevent.signal_handler(signal.SIGHUP, self.reload)
         gevent.signal_handler(signal.SIGTERM, self.stop)
-        gevent.spawn(self.catalog.follower.run)
+        gevent.spawn(self.catalog.watcher.run)
         ready = server.create(
             self.readiness.app, self.settings.listen_addrs.ready, self.counters
         )
--- a/src/mangosail/upkeep.py
+++ b/src/mangosail/upkeep.py
@@ -55,7 +55,7 @@
         peers: membership.Peers,
         front: context.Front,
     ) -> None:
-        self.listed = listing
+        self.inventory = listing
         self.owners = ownership
         self.owned_workers = owned_workers
         self.peers = peers
@@ -71,13 +71,13 @@
 
     def refresh(self) -> None:
         """Read the platform's list, then acquire and give up workers accordingly."""
-        if self.listed.refresh():
-            self.peers.update(self.listed.listing.instances)
-            self.owners.absences.update(self.listed.instance_names())
+        if self.inventory.refresh():
+            self.peers.update(self.inventory.listing.instances)
+            self.owners.absences.update(self.inventory.instance_names())
             self._mark_leaving()
         if self.front.draining:
             return
-        self.owners.refresh(self.listed.live_workers(self.peers.data_centre))
+        self.owners.refresh(self.inventory.live_workers(self.peers.data_centre))
         self.front.ready = bool(self.front.settings.by_team) and self._can_serve()
 
     def _can_serve(self) -> bool:
@@ -92,7 +92,7 @@
 
     def _mark_leaving(self) -> None:
         """Stop sending new work to workers that the platform lists as leaving."""
-        for worker in self.listed.leaving_workers():
+        for worker in self.inventory.leaving_workers():
             owned = self.owned_workers.get(worker.name)
             if owned is not None:
                 owned.leaving = True
--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -58,7 +58,7 @@
 
 
 def follow(context):
-    context.following = gevent.spawn(context.catalog.follower.run)
+    context.following = gevent.spawn(context.catalog.watcher.run)
     context.add_cleanup(context.following.kill)
     context.began_at = time.monotonic()
 
--- a/tests/intake/steps/relaying_steps.py
+++ b/tests/intake/steps/relaying_steps.py
@@ -138,7 +138,7 @@
 def step_has_read(context):
     context.clock.now += 1
     context.instance.rows.put(CONFIG, "newer")
-    assert context.instance.catalogs.follower.read_once(0)
+    assert context.instance.catalogs.watcher.read_once(0)
 
 
 @then("the peer was asked twice")
@@ -347,7 +347,7 @@
     "while {rate:d} callers a second send a GET"
 )
 def step_follows(context, seconds, rate):
-    follower = context.instance.catalogs.follower
+    follower = context.instance.catalogs.watcher
     changes = follower.rows.changes
     context.forwarded = []
 
