--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,8 @@
-"""Runs every slice's behave features and prints one verdict.
+"""Runs the behave features of all slices and prints a summary.
 
-``python -m tests.run [--jobs N] [slice ...]``. A slice is a folder of `tests` that
-holds feature files; `N` of them run at a time, those that take longest first, and
-each one's output is printed when it is done. Scenarios named in KNOWN-RED.txt may
-fail; they are printed.
+``python -m tests.run [--jobs N] [slice ...]``. A slice is a folder of `tests` with
+feature files. Up to `N` slices run in parallel, the slowest first; the output of each
+is printed when it ends. Scenarios listed in KNOWN-RED.txt may fail and are printed.
 """
 
 import argparse
@@ -17,22 +16,13 @@
 import time
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
-#: Slices that take longest, longest first: begun last, one would run on alone.
-LONGEST_FIRST = (
-    "scheduler",
-    "work",
-    "jobs",
-    "soak",
-    "front",
-    "ownership",
-    "settings",
-    "cli",
-)
+#: The slowest slices in descending order; started last, they would prolong the run.
+SLOWEST = ("scheduler", "work", "jobs", "soak", "front", "ownership", "settings", "cli")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of the scenarios of one slice, by name."""
+    """The names of the passed and failed scenarios of one slice."""
 
     name: str
     passed: list[str]
@@ -46,7 +36,7 @@
 
 
 def known_red():
-    """Return the names of scenarios that may fail, each with its line."""
+    """Return the scenarios that may fail: name -> line of KNOWN-RED.txt."""
     listed = ROOT / "KNOWN-RED.txt"
     if not listed.exists():
         return {}
@@ -55,20 +45,20 @@
 
 
 def run_slice(name):
-    """Run one slice and return its verdict."""
+    """Run one slice and return its `Verdict`."""
     began_at = time.monotonic()
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         done = subprocess.run(
             [
                 sys.executable, "-m", "behave", f"tests/{name}", "--no-capture",
-                "-f", "tests.support.reasons:Reasons", "-o", report.name,
+                "-f", "tests.support.reasons:ErrorMessageFormatter", "-o", report.name,
                 "-f", "progress",
             ],
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
         )  # fmt: skip
         text = pathlib.Path(report.name).read_text()
     scenarios = [
-        # Behave ends the name of an outline's row with a space.
+        # Behave appends a space to the names of scenario outline examples.
         (f"{name}: {element['name']}".strip(), element.get("status"))
         for feature in (json.loads(text) if text else [])
         for element in feature.get("elements", [])
@@ -84,7 +74,7 @@
     passed = [n for n, status in scenarios if status == "passed"]
     failed = [n for n, status in scenarios if status != "passed"]
     if done.returncode and not failed:
-        # A hook or a step file broke before any scenario could fail.
+        # A hook or a step file failed before any scenario ran.
         failed = [f"{name}: run ended with status {done.returncode}"]
     seconds = time.monotonic() - began_at
     output = "\n".join([done.stdout, *reasons])
@@ -92,13 +82,13 @@
 
 
 def reason_of(step):
-    """Return why a step failed, so that what shows once can be traced."""
+    """Return a step's error message, to diagnose failures that may not recur."""
     message = step["result"]["error_message"]
     return message if isinstance(message, str) else "\n".join(message)
 
 
 def start_order(name):
-    return LONGEST_FIRST.index(name) if name in LONGEST_FIRST else len(LONGEST_FIRST)
+    return SLOWEST.index(name) if name in SLOWEST else len(SLOWEST)
 
 
 def main():
--- a/tests/support/certificates.py
+++ b/tests/support/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: an authority, and what it has signed."""
+"""A test certificate authority and the certificates that it issues."""
 
 import datetime
 import ipaddress
@@ -9,7 +9,7 @@
 
 
 class Authority:
-    """Signs certificates that name an instance, and writes them to a folder."""
+    """Issues certificates for instances and writes them to a folder."""
 
     def __init__(self, folder, name="authority"):
         self.folder = folder
@@ -35,7 +35,7 @@
         )
 
     def issue(self, name, file=None):
-        """Write certificate and key for `name` and return their serial number."""
+        """Write a certificate and key for `name`; return the serial number."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
         address = x509.IPAddress(ipaddress.ip_address("127.0.0.1"))
@@ -52,7 +52,7 @@
         return signed.serial_number
 
     def variables(self, file):
-        """Return the process settings that name the files of `file`."""
+        """Return the environment variables that enable TLS with the files of `file`."""
         return {
             "MANGOSAIL_PLAINTEXT": "false",
             "MANGOSAIL_TLS_CERTIFICATE": str(self.folder / f"{file}.pem"),
--- a/tests/support/crowded.py
+++ b/tests/support/crowded.py
@@ -1,4 +1,4 @@
-"""Workers in memory that are full of batch tasks, some of which are evicted."""
+"""In-memory workers filled with batch tasks, which can be evicted."""
 
 import gevent
 import result
@@ -12,12 +12,14 @@
 
 
 class Crowded(placing.Placing):
-    """Workers in memory with batch tasks, which are evicted as told."""
+    """In-memory workers with batch tasks; evictions fail or take time as set."""
 
     def __init__(self, *names):
         super().__init__(*names)
-        self.hands = {name: [] for name in names}  # worker -> tasks in hand
-        self.later = {}  # worker -> tasks that run there and are not in hand
+        self.hands = {
+            name: [] for name in names
+        }  # worker -> requests that this instance runs there
+        self.later = {}  # worker -> requests running there that it can't evict
         self.evicted = []
         self.fail = False
         self.seconds = 0.0
@@ -43,7 +45,7 @@
         return result.Err(errors.NotEvicted("not_in_hand"))
 
     def submit(self, request, deadline, forward=True):
-        """Run nothing: what became of a task that found room is not told here."""
+        """Run nothing: these tests don't follow a task beyond its placement."""
         return result.Err("not_run_here")
 
     def run(self, worker, request):
--- a/tests/support/deployed.py
+++ b/tests/support/deployed.py
@@ -1,7 +1,7 @@
-"""Starts instances on the users' platform: real processes, and its stand-ins.
+"""Starts a deployment of real instances on stand-ins of the users' platform.
 
-The store, each worker and each instance are processes of their own; each instance
-reaches the store, and all reach each worker, by way of a relay.
+The store, each worker and each instance run as separate processes. Each instance
+connects to the store, and every instance to each worker, through a TCP relay.
 """
 
 import json
@@ -13,7 +13,7 @@
 INSTANCES = 4
 WORKERS = 5
 CORES = 16
-#: Seconds that a planned stop may take.
+#: Seconds within which an instance must exit after SIGTERM.
 GRACE_S = 6.0
 HOST = "jobs.example"
 PREFIX = "/q/"
@@ -28,13 +28,13 @@
 
 
 class Deployment(stage.Stage):
-    """All processes of a run, and the faults that hit them."""
+    """All processes of a run, and the relays in front of them."""
 
-    def __init__(self, seed, lives=False):
+    def __init__(self, seed, keep_names=False):
         super().__init__()
         self.seed = seed
-        #: True if every other worker keeps its name when it starts again.
-        self.lives = lives
+        #: True if every other worker keeps its name when it restarts.
+        self.keep_names = keep_names
         self.relays = {}
         self.fronts = {}
         self.store = stage.free_address()
@@ -66,7 +66,7 @@
                    "--cores", str(CORES), *self.name_option(name))  # fmt: skip
 
     def name_option(self, name):
-        keeps = self.lives and int(name.rpartition("-")[2]) % 2 == 0
+        keeps = self.keep_names and int(name.rpartition("-")[2]) % 2 == 0
         return ("--name", name) if keeps else ()
 
     def add_instance(self, name, host):
@@ -86,7 +86,7 @@
         self.start(name, "deploy/serve.py", env={"MANGOSAIL_SETTINGS": str(path)})
 
     def worker_entries(self):
-        """Return what all workers noted; it outlives killed ones."""
+        """Return the log entries of all workers, including those that were killed."""
         return [
             json.loads(line)
             for path in sorted(self.logs.glob("worker-*.jsonl"))
@@ -95,7 +95,7 @@
 
 
 def host_of(number):
-    """Return a loopback address that no other run uses: metrics have a fixed port."""
+    """Return a loopback address unique to this run, since the metrics port is fixed."""
     pid = os.getpid()
     return f"127.{1 + pid // 250 % 250}.{pid % 250}.{number + 1}"
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,7 +1,7 @@
-"""Fakes at the interfaces, in one process, for state machines and crash points.
+"""In-process fakes of the external interfaces, for state-machine and crash tests.
 
-A `World` is what outlives an instance: table, object store and workers. Faults
-are armed on it and hit the next call; `Crash` ends the instance that made it.
+A `World` holds the state that outlives an instance: table, object store and workers.
+A fault set on it affects the next call; `Crash` ends the instance that made the call.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 class Crash(BaseException):
-    """The instance dies here."""
+    """Raised at the point where the instance crashes."""
 
 
 class Lease:
@@ -44,7 +44,7 @@
         self.rows = memory.Rows()
         self.objects = {}
         self.workers = {}
-        self.late = []  # effects still on their way: functions
+        self.late = []  # functions that apply delayed effects
         self.table_fault = ""  # lost, late, down, paused
         self.order_fault = ""  # lost, late, unreachable
         self.calls = 0
@@ -52,7 +52,7 @@
         self.crash_after_effect = False
 
     def step(self, effect):
-        """Run one outside effect, or crash before or after it."""
+        """Apply one external effect, or crash before or after it."""
         self.calls += 1
         crashes = self.calls == self.crash_at
         if crashes and not self.crash_after_effect:
@@ -103,7 +103,7 @@
 
 
 class Worker:
-    """A worker: what it ran is in `log` as (event, task id, generation)."""
+    """A worker that logs (event, task id, generation, checkpoint) of what it ran."""
 
     def __init__(self, world, name):
         self.world, self.name = world, name
@@ -190,7 +190,7 @@
 
 
 class Instance:
-    """A runner with its own workers, in the world."""
+    """A runner and the workers that it owns, in a `World`."""
 
     def __init__(self, world, name, incarnation="1"):
         self.world, self.name = world, name
@@ -228,7 +228,7 @@
         request = messages.Request(
             "team", request_id, "kind", NEEDS, {"id": request_id}, restartable
         )
-        # Late enough for a move to another worker, too soon to wait.
+        # Leaves time to try another worker, but none to wait in a queue.
         return self.runner.submit(request, self.world.clock.now + 1e-6)
 
     def hear(self, worker):
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,4 @@
-"""Callers that go on asking for quotes and releases until they are stopped."""
+"""Load generator: callers that request quotes and releases until stopped."""
 
 import json
 import threading
@@ -8,7 +8,7 @@
 
 
 class Load:
-    """One thread for each caller and instance; keeps every answer."""
+    """Runs `callers` threads per instance and records every answer."""
 
     def __init__(self, addresses, callers=3, body=None, releases=True, pause=0.02):
         self.addresses = dict(addresses)
--- a/tests/support/memory.py
+++ b/tests/support/memory.py
@@ -1,4 +1,4 @@
-"""A clock that tests set, and the rows of a table in memory."""
+"""A controllable clock and an in-memory table."""
 
 import result
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """A clock that moves when a test says so, and by `tick` when it is read."""
+    """A clock that tests set; each read also advances it by `tick`."""
 
     def __init__(self, now=1000.0, tick=0.0):
         self.now = now
@@ -24,7 +24,7 @@
 
 
 class Rows(dict):
-    """Rows by key; a transaction takes effect whole, if its checks hold."""
+    """Rows by key; a transaction is applied atomically if its checks hold."""
 
     version = 0
 
--- a/tests/support/placing.py
+++ b/tests/support/placing.py
@@ -1,4 +1,4 @@
-"""A placer over workers that exist in memory only, on a clock that tests set."""
+"""A placer over in-memory workers, with a clock that tests control."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 
 
 class Placing:
-    """A placer and the workers that it places on."""
+    """A placer and its workers."""
 
     def __init__(self, *names, policy=choice.Policy.LEARNED):
         self.clock = memory.Clock()
@@ -48,7 +48,7 @@
         )
 
     def put(self, worker, kind):
-        """Have a batch task run on `worker`, whatever the placer thinks of it."""
+        """Add a running batch task to `worker`, bypassing the placer."""
         work = self.work(kind, messages.WorkClass.BATCH)
         self.workers.get(worker).ledger.add(work.task_id, work.needs)
         self.placer.residents.add(work)
--- a/tests/support/ports.py
+++ b/tests/support/ports.py
@@ -1,10 +1,10 @@
-"""Ports for processes that tests start.
+"""Allocates ports for processes that tests start.
 
-A port that was free when the kernel named it may be taken before the process binds it:
-by an outgoing connection of any process, or by a stage of another slice that runs at
-the same time. Then an instance never becomes ready or, worse, the test talks to an
-instance of another stage. So ports come from below those that the kernel gives to
-outgoing connections, out of a block that this process holds alone while it lives.
+An ephemeral port that is free when the kernel returns it may be taken before the
+process binds it, by an outgoing connection or by another test run in parallel. The
+instance then never becomes ready or, worse, the test talks to another test's instance.
+Ports are therefore taken from below the kernel's ephemeral range, out of a block that
+this process reserves for as long as it runs.
 """
 
 import itertools
@@ -14,13 +14,13 @@
 
 FIRST_PORT = 10000
 BLOCK_SIZE = 250
-#: Where the kernel's range for outgoing connections begins, unless it says otherwise.
+#: First ephemeral port if `RANGE_FILE` can't be read (the default of Linux).
 DEFAULT_EPHEMERAL_START = 32768
 RANGE_FILE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
 def lowest_ephemeral():
-    """Return the first port that outgoing connections may get."""
+    """Return the first port of the kernel's ephemeral range."""
     try:
         return int(RANGE_FILE.read_text().split()[0])
     except (OSError, ValueError):
@@ -28,11 +28,11 @@
 
 
 class Block:
-    """Ports of this process; its first one is bound for as long as it lives."""
+    """A block of ports reserved by keeping its first port bound."""
 
     def __init__(self):
         starts = list(range(FIRST_PORT, lowest_ephemeral() - BLOCK_SIZE, BLOCK_SIZE))
-        # Processes begin at different blocks, so that few meet.
+        # Processes start the search at different blocks to reduce collisions.
         first = os.getpid() % len(starts)
         for start in [*starts[first:], *starts[:first]]:
             holder = socket.socket()
@@ -48,11 +48,11 @@
         raise AssertionError("no block of ports is free")
 
     def next(self):
-        """Return a port that nothing listens on, not used before if there is any."""
+        """Return a free port, preferring ones that were not returned before."""
         for _ in range(BLOCK_SIZE):
             port = next(self.ports)
             with socket.socket() as probe:
-                # As a server does it, so that connections that ended don't count.
+                # Servers set this too; it ignores connections in TIME_WAIT.
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
                     probe.bind(("127.0.0.1", port))
@@ -66,8 +66,8 @@
 
 
 def free_port():
-    """Return a port that no other process is given."""
-    # A forked process must not hand out its parent's ports.
+    """Return a free port that no other process is given."""
+    # A forked process must not return ports of its parent's block.
     block = _blocks.get(os.getpid())
     if block is None:
         block = _blocks[os.getpid()] = Block()
--- a/tests/support/reasons.py
+++ b/tests/support/reasons.py
@@ -1,13 +1,13 @@
-"""A report of a behave run that tells why each step failed."""
+"""A behave formatter that includes the error message of each failed step."""
 
 from behave.formatter import json
 
 
-class Reasons(json.JSONFormatter):
-    """JSON as behave writes it, also with the reasons of steps that broke.
+class ErrorMessageFormatter(json.JSONFormatter):
+    """Behave's JSON report, with the error message of every failed step.
 
-    Behave leaves out those that ended in an exception which is no assertion: a red
-    run that showed once said nothing of a call that was refused or came too late.
+    Behave omits the message of steps that raise anything but an AssertionError, so an
+    intermittent failure by a refused or timed-out call could not be traced.
     """
 
     name = "reasons"
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,11 +1,11 @@
-"""A TCP relay that cuts its first connection after some bytes of the answer."""
+"""A TCP relay that closes its first connection after some bytes of the answer."""
 
 import socket
 import threading
 
 
 class Relay:
-    """Passes connections on to `backend`; only the first one is cut."""
+    """Forwards connections to `backend` and truncates only the first answer."""
 
     def __init__(self, backend, cut_after):
         self.backend = backend
--- a/tests/support/sources.py
+++ b/tests/support/sources.py
@@ -1,4 +1,4 @@
-"""The program's source files as syntax trees."""
+"""Syntax trees of the package's source files."""
 
 import ast
 
@@ -8,13 +8,13 @@
 
 
 def trees(folder=PACKAGE):
-    """Yield (path from the root, syntax tree) of each module below `folder`."""
+    """Yield (path relative to the root, syntax tree) of each module in `folder`."""
     for path in sorted(folder.rglob("*.py")):
         yield path.relative_to(stage.ROOT), ast.parse(path.read_text())
 
 
 def calls(tree):
-    """Yield (name of what is called, call) for each call in `tree`."""
+    """Yield (name of the called function, call node) for each call in `tree`."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Call):
             func = node.func
@@ -22,5 +22,5 @@
 
 
 def constant(node):
-    """Return the string that `node` is, or None."""
+    """Return the value of a string constant, or None for any other node."""
     return node.value if isinstance(getattr(node, "value", None), str) else None
--- a/tests/support/stage.py
+++ b/tests/support/stage.py
@@ -1,7 +1,7 @@
-"""Starts the stand-ins and instances as processes on loopback, and ends them.
+"""Starts and stops stand-ins and instances as processes on loopback.
 
-A `Stage` belongs to one test or measurement; `close` ends what it started, by
-process id, and nothing else.
+Each test or benchmark has its own `Stage`; `close` kills only the processes that the
+stage started.
 """
 
 import base64
@@ -20,9 +20,9 @@
 from tests.support import ports
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-#: Seconds that a process may take until it serves.
+#: Seconds within which a started process must serve requests.
 START_TIMEOUT_S = 30.0
-#: Lines of each log that a red scenario prints.
+#: Number of trailing lines of each log that are printed for a failed scenario.
 MAX_LOG_LINES = 60
 
 
@@ -42,7 +42,7 @@
 
 
 def call(address, method, path, body=None, headers=None, timeout=10.0):
-    """Send one HTTP request and return its `Answer`, whatever its status."""
+    """Send one HTTP request and return its `Answer`, also for error statuses."""
     data = body if isinstance(body, bytes) else None
     if data is None and body is not None:
         data = json.dumps(body).encode()
@@ -67,12 +67,12 @@
 
 
 def encoded(value):
-    """Return `value` as JSON in base64."""
+    """Return `value` as base64-encoded JSON."""
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
 def wait_until(condition, timeout=START_TIMEOUT_S, what="condition"):
-    """Poll `condition` until it returns something true, and return that."""
+    """Poll `condition` until it returns a true value, and return that value."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         try:
@@ -82,11 +82,11 @@
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"{what} not reached in {timeout} s")
+    raise AssertionError(f"{what} not reached within {timeout} s")
 
 
 class Stage:
-    """Processes of one test: a platform, workers, instances, a balancer."""
+    """The processes of one test: platform, workers, instances and load balancer."""
 
     def __init__(self, keep_logs=None):
         self.processes = {}
@@ -114,7 +114,7 @@
         return self.processes[name]
 
     def restart(self, name):
-        """Start a process that has ended again, with the same command."""
+        """Restart a process that has ended, with the same command."""
         command, env = self.commands[name]
         return self.start(name, *command, env=env)
 
@@ -152,7 +152,7 @@
     def start_instance(
         self, name, data_centre, env=None, http=None, command=("-m", "mangosail")
     ):
-        """Start an instance; `http` gives it the address of one it replaces."""
+        """Start an instance; `http` reuses the address of one that it replaces."""
         http, peer = http or free_address(), free_address()
         self.instances[name], self.peer_addresses[name] = http, peer
         entry = {
@@ -179,13 +179,13 @@
             "balancer", "-m", "tests.standins.balancer", "--address", self.balancer,
             "--backends", *self.instances.values(),
         )  # fmt: skip
-        # Without this a scenario that was run alone began before it listened.
+        # Otherwise a scenario that is run alone may start before it listens.
         wait_until(
             lambda: call(self.balancer, "GET", "/healthz").status, what="balancer"
         )
 
     def write_settings(self, team, settings):
-        """Write a team's settings straight into the table, as a change would."""
+        """Write a team's settings directly to the table, like an accepted change."""
         found = call(self.platform, "GET", "/rows?prefix=settings/").json()
         rows = {row["key"]: json.loads(row["value"]) for row in found}
         changes = rows.get("settings/changes", {"sequence": 0, "recent": []})
@@ -232,14 +232,14 @@
         return call(self.workers[worker], "GET", "/log").json()
 
     def execution_log(self):
-        """Return what all workers did, ordered by time."""
+        """Return the execution log entries of all workers, ordered by time."""
         entries = []
         for address in self.workers.values():
             entries += call(address, "GET", "/log").json()["log"]
         return sorted(entries, key=lambda entry: entry["at"])
 
     def starts_of(self, task_id):
-        """Return each start of a task that the workers' logs show."""
+        """Return the start entries of a task from all workers' logs."""
         return [
             entry
             for entry in self.execution_log()
@@ -247,9 +247,9 @@
         ]
 
     def tell(self, token):
-        """Print what a red run is traced by: it may not show again.
+        """Print diagnostics of a failed run, since the failure may not recur.
 
-        The last lines of each process's log, and the counters of each instance.
+        These are the last lines of each process's log and each instance's counters.
         """
         for path in sorted(self.logs.glob("*.log")):
             lines = path.read_text(errors="replace").splitlines()
--- a/tests/support/teams.py
+++ b/tests/support/teams.py
@@ -1,17 +1,17 @@
-"""Settings of the two users' teams as tests and the demo use them."""
+"""Settings and tokens of the example teams, for tests and the demo."""
 
 import hashlib
 import json
 
 from tests.support import stage
 
-#: Token of the platform's administrator in tests.
+#: Token of the platform administrator in tests.
 ADMIN_TOKEN = "admin-token"
 EXAMPLES = stage.ROOT / "examples"
 
 
 def example(name):
-    """Return the example settings `name` with a token for tests added."""
+    """Return the example settings `name` with a test token added."""
     settings = json.loads((EXAMPLES / f"{name}.json").read_text())
     return {**settings, "tokens": [token(f"{name}-token", operator=True)]}
 
@@ -22,7 +22,7 @@
 
 
 def admin_env():
-    """Return the variable by which an instance knows the administrator."""
+    """Return the environment variable that configures the administrator's token."""
     return {"MANGOSAIL_ADMIN_TOKEN_SHA256": token(ADMIN_TOKEN)["sha256"]}
 
 
