--- a/tests/standins/balancer.py
+++ b/tests/standins/balancer.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's balancer: TCP, round robin over ready instances.
+"""TCP load balancer with round robin over ready instances.
 
-Asks each instance's ``/readyz`` every half second; a connection goes to the
-next ready one and stays there.
+It polls each instance's ``/readyz`` every half second; each new connection goes to
+the next ready instance and stays there.
 """
 
 from gevent import monkey
@@ -58,7 +58,7 @@
 
 
 def copy_both_ways(left, right):
-    """Copy bytes both ways until both sides are done."""
+    """Copy bytes in both directions until both sides have ended."""
     for end in (left, right):
         end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     back = gevent.spawn(copy, right, left)
--- a/tests/standins/metadata.py
+++ b/tests/standins/metadata.py
@@ -1,6 +1,6 @@
-"""A stand-in of the users' platform in one process: store, worker, advice.
+"""In-process simulator of the users' platform: store, worker and advice service.
 
-It answers as the platform's pages say, and as a test arms it to.
+It follows the platform's documented protocol; tests can preset other answers.
 """
 
 import base64
@@ -12,14 +12,14 @@
 
 from tests.standins import server
 
-#: Entries and bytes of one transaction, and characters of a row's value, at most.
+#: Limits on a transaction's entries and bytes, and on the length of a row's value.
 MAX_ENTRIES = 100
 MAX_BYTES = 1_000_000
 MAX_VALUE_CHARS = 65_536
 
 
 class Platform:
-    """Rows of the store, one worker, and the advice service, on one address."""
+    """Store, worker and advice service on one address."""
 
     handler = server.Handler
 
@@ -28,9 +28,9 @@
         self.rows = {}
         self.ver = 0
         self.history = []
-        #: Statuses that the next calls of a path are answered with.
+        #: Path -> (status, body) pairs with which its next calls are answered.
         self.armed = {}
-        #: Paths whose next answer never comes, though the call is done.
+        #: Paths whose next call is carried out but not answered for 30 s.
         self.silent = set()
         self.calls = []
         app = falcon.App()
@@ -126,7 +126,7 @@
 
 
 def too_large(message, body):
-    """Return which bound on a transaction is passed; empty if none is."""
+    """Return the name of the limit that a transaction exceeds; empty if none."""
     if sum(len(entries) for entries in message.values()) > MAX_ENTRIES:
         return "entries"
     if len(body) > MAX_BYTES:
--- a/tests/standins/narrow.py
+++ b/tests/standins/narrow.py
@@ -1,7 +1,7 @@
-"""The users' platform's store at the far end of a narrow link.
+"""The users' platform's store behind a link with low bandwidth to the reader.
 
-Its answers come in pieces, as fast as the link lets them, and share the link. What the
-receiver has given up is sent no further.
+Answers are sent in chunks at the link's rate, and concurrent answers share the link. An
+answer is sent no further once its receiver has closed the connection.
 """
 
 import json
@@ -11,24 +11,24 @@
 
 from tests.standins import metadata
 
-#: Bytes that are put on the link at a time.
+#: Size of the chunks in which answers are sent, in bytes.
 PIECE = 4096
-#: Seconds between looks at whether a followed table has changed.
+#: Interval at which a feed request checks for changes.
 FEED_POLL_INTERVAL_S = 0.01
 
 
 class Platform(metadata.Platform):
-    """A store of which `rate` bytes a second can be read."""
+    """A store from which `rate` bytes a second can be read."""
 
     def __init__(self, rate):
         self.rate = rate
-        #: Bytes that were put on the link, and the time at which it is free again.
+        #: Bytes sent so far, and the time at which the link is free again.
         self.sent = 0
         self.free_at = 0.0
-        #: Answers that are being sent. While there are any, the link goes by its own
-        #: schedule, so that a busy machine makes it no narrower.
+        #: Answers being sent. While there are any, the link's schedule advances
+        #: independently of the machine's load, which would reduce the rate further.
         self.active_responses = 0
-        #: Bytes of an answer after which it goes silent; None if none does.
+        #: Number of bytes after which an answer stalls; None if answers don't stall.
         self.stall_after = None
         super().__init__()
 
@@ -65,7 +65,7 @@
 
 
 def configuration(version, queues, host):
-    """Return the text of a configuration with a number of queues, q0 and so on."""
+    """Return the JSON text of a configuration with queues q0, q1 and so on."""
     routes = [
         {
             "name": f"q{number}",
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,12 +1,12 @@
-"""Stand-in of the platform: table, object store, inventory, with faults.
+"""Platform simulator with table, object store, inventory and fault injection.
 
-``POST /faults`` changes the faults while it runs::
+``POST /faults`` changes the faults at run time::
 
     {"table": "up" | "down" | "slow", "lose_answers": 0.1, "slow_seconds": 0.5,
      "lose_under": "work/",
      "cut": ["instance"], "objects": "up" | "down"}
 
-Every commit is kept in a log that ``GET /log`` returns, for oracles.
+Every commit is recorded in a log that ``GET /log`` returns, for test oracles.
 """
 
 from gevent import monkey
@@ -45,12 +45,12 @@
         self.calls = {"read_rows": 0, "reads": 0, "commits": 0, "written_rows": 0}
         self.inventory = {"instances": {}, "workers": {}}
         self.published = {"instances": [], "workers": []}
-        # Addresses of instances as one particular instance sees them:
-        # {observer: {name: address}}; lets tests cut single pairs.
+        # Addresses of instances as listed to one particular instance,
+        # {observer: {name: address}}; lets tests partition single pairs.
         self.addresses = {}
 
     def apply_faults(self, req):
-        """Delay or refuse a table call as the faults say."""
+        """Delay or refuse a table call according to the faults."""
         if self.is_cut(req):
             gevent.sleep(5)
             raise falcon.HTTPServiceUnavailable()
@@ -111,7 +111,7 @@
         return found
 
     def publish_forever(self):
-        """Publish the inventory with its lag."""
+        """Publish the inventory with a delay of `lag` seconds."""
         while True:
             snapshot = {
                 kind: json.loads(json.dumps(list(self.inventory[kind].values())))
@@ -193,7 +193,7 @@
             resp.status, resp.media = 304, None
 
     def on_put(self, req, resp, kind, name):
-        """Enter or change an entry: kind is `instances` or `workers`."""
+        """Add or change an entry; `kind` is `instances` or `workers`."""
         entries = self.platform.inventory[kind]
         entries[name] = {**entries.get(name, {}), **req.media}
 
@@ -202,7 +202,7 @@
 
 
 class Control:
-    """For tests: faults, the commit log, counts, and rows written directly."""
+    """Test interface: faults, the commit log, call counts and direct row access."""
 
     def __init__(self, platform):
         self.platform = platform
--- a/tests/standins/pool.py
+++ b/tests/standins/pool.py
@@ -1,12 +1,12 @@
-"""Workers of the users' platform: they run what they are told, and keep a log.
-
-``python -m tests.standins.pool --address A --store B --log FILE`` is one life of one
-worker in a process of its own, which may be paused and killed; another life at the
-same address has another name, or with ``--name`` the same one, and says when it was
-born. ``--many`` answers for every worker that an order names, for measurements of a
-leader. A job's text says how long its tasks take: "0.4" is seconds, "lasts" is for
-ever, "fails" ends failed at once, "crashes" ends the worker. ``POST /resize`` changes
-its cores.
+"""Simulated workers of the users' platform, which run tasks and keep a log.
+
+``python -m tests.standins.pool --address A --store B --log FILE`` runs one worker in
+a process of its own, which may be paused and killed. When restarted at the same
+address it has a new name or, with ``--name``, the same name and a new start time.
+``--many`` answers for every worker that a request names, for benchmarks of a leader. A
+job's spec determines its tasks: "0.4" runs for 0.4 s, "lasts" runs until stopped,
+"fails" fails immediately, "crashes" ends the worker's process. ``POST /resize`` changes
+the number of cores.
 """
 
 from gevent import monkey
@@ -26,20 +26,20 @@
 
 from tests.standins import server  # noqa: E402
 
-#: Seconds that a task takes whose job does not say.
+#: Duration of a task whose spec is not a number.
 DEFAULT_DURATION_S = 1.5
 FOREVER = "lasts"
 FAILS = "fails"
 CRASHES = "crashes"
-#: Status with which a worker ends that a task has ended, and after how many seconds.
+#: Exit status of a worker that a task crashes, and the delay until it exits.
 CRASH_EXIT_STATUS = 86
 CRASH_DELAY_S = 0.01
-#: Longest lease in milliseconds.
+#: Maximum duration of a lease.
 MAX_HOLD_MS = 6000
-#: Seconds between looks at what is due, and between the worker's own entries.
+#: Intervals of checks for due ends, and of the worker's registrations at the store.
 STEP_INTERVAL_S = 0.01
 HEARTBEAT_INTERVAL_S = 0.7
-#: Milliseconds of a serving task's tail, and what each task that ends adds to it.
+#: Reported tail latency of a continuous task, and its increase per other task.
 BASE_TAIL_MS = 6.0
 TAIL_SLOPE_MS = 1.5
 
@@ -48,21 +48,21 @@
 
 
 def now_ms():
-    """Return the worker's clock, which begins anew with each life."""
+    """Return the worker's clock, which starts at 0 in each incarnation."""
     return int((time.monotonic() - STARTED_AT) * 1000)
 
 
 class Worker:
-    """One worker: what runs there, and the ends that nobody has seen yet."""
+    """One worker: its running tasks, and the ends not yet acknowledged."""
 
     def __init__(self, name, note=lambda **facts: None, born=None):
         self.name = name
-        #: Unix milliseconds of its start, if it tells them.
+        #: Start time in Unix milliseconds; None if the worker does not report it.
         self.born = born
         self.note = note
         self.token = 0
         self.deadline = 0
-        #: True while a lease runs.
+        #: True while a lease is in force.
         self.has_lease = False
         self.running = {}
         self.due = []
@@ -72,7 +72,7 @@
         self.end_recorded = gevent.event.Event()
 
     def answer(self, path, order):
-        """Return status and body for a call."""
+        """Return the status and body of the answer to a request."""
         token = order.get("fencing_token", 0)
         if token < self.token:
             return 409, {"reason": "fence"}
@@ -133,7 +133,7 @@
     def step(self, now):
         late = (now_ms() - self.deadline) / 1000
         if late > 0 and self.has_lease:
-            # A process that was paused comes to this late; nothing ran meanwhile.
+            # A paused process gets here late; its tasks did not run meanwhile.
             self.has_lease = False
             self.note(event="lease_over", at=time.time() - late)
             for task in list(self.running):
@@ -164,12 +164,12 @@
 
 
 class Pool:
-    """Answers for its workers by the name that an order is meant for."""
+    """WSGI application that routes each request to the worker that it names."""
 
     def __init__(self, many=False):
         self.workers = {}
         self.many = many
-        #: What the worker writes about itself.
+        #: The worker's entry at the store.
         self.entry = {}
 
     def __call__(self, environ, start_response):
@@ -203,7 +203,7 @@
 
 
 def send_heartbeats(store, entry):
-    """Keep the worker's entry in the store, as long as this process runs."""
+    """Renew the worker's entry at the store for as long as this process runs."""
     client = geventhttpclient.HTTPClient.from_url(f"http://{store}")
     while True:
         try:
@@ -214,7 +214,7 @@
 
 
 def start_worker(pool, args):
-    """Begin a life under a new name or the one given, and list it at the store."""
+    """Start the worker under a new or the given name, and register it at the store."""
     born = int(time.time() * 1000)
     name = args.name or f"w-{os.getpid()}-{born}"
     incarnation = f"{name}/{born}" if args.name else name
@@ -248,10 +248,10 @@
 def main():
     parser = argparse.ArgumentParser()
     parser.add_argument("--address", default="127.0.0.1:0")
-    parser.add_argument("--listed", help="address that the entry gives instead")
+    parser.add_argument("--listed", help="address to register instead")
     parser.add_argument("--store")
     parser.add_argument(
-        "--name", help="name that each life has; a new one if not given"
+        "--name", help="name to keep across restarts (default: a new one)"
     )
     parser.add_argument("--log")
     parser.add_argument("--cores", type=int, default=16)
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -1,7 +1,7 @@
-"""TCP relay whose path can be cut, to part one pair of processes.
+"""TCP relay that can simulate a network partition between two processes.
 
-It runs in threads of the test itself: ``relay.cut()`` closes nothing and passes
-nothing on, as a lossy path would; new connections are accepted and go silent.
+It runs in threads of the test. After ``relay.cut()`` connections stay open but no data
+is forwarded, as with packet loss; new connections are accepted but not served.
 """
 
 import socket
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a JSON WSGI server."""
+"""JSON WSGI server shared by the stand-ins."""
 
 import socket
 
@@ -7,7 +7,7 @@
 
 
 class Handler(pywsgi.WSGIHandler):
-    """Sends each write at once."""
+    """Disables Nagle's algorithm, so that each write is sent immediately."""
 
     def __init__(self, sock, *args, **kwargs):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -15,7 +15,7 @@
 
 
 def serve(app, address, handler_class=None):
-    """Serve `app` on `address` until the process is ended."""
+    """Serve `app` on `address` until the process is terminated."""
     host, _, port = address.rpartition(":")
     pywsgi.WSGIServer(
         (host, int(port)),
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -1,10 +1,11 @@
-"""The users' platform's store in a process of its own, with faults from outside.
-
-``python -m tests.standins.store --address A``. ``POST /faults`` sets what goes wrong:
-`down` (answers 503), `silent` (answers nothing), `slow` (seconds for each call),
-`lose` and `late` (shares of the writes that are done at once, or seconds later, and not
-answered), `forget` (drops the history). ``POST /beat`` lists a worker until it has not
-been heard of for `LAPSE_TERM`. ``GET /dump`` returns all rows.
+"""Simulator of the users' platform's store as a process, with fault injection.
+
+``python -m tests.standins.store --address A``. ``POST /faults`` sets the faults: `down`
+(answers 503), `silent` (does not answer), `slow` (delay of each call in seconds),
+`lose` and `late` (shares of the writes that are applied immediately, or seconds later,
+but not answered), `forget` (drops the change history). ``POST /beat`` registers a
+worker until it has sent no heartbeat for `ENTRY_TIMEOUT_S`. ``GET /dump`` returns all
+rows.
 """
 
 from gevent import monkey
@@ -21,27 +22,28 @@
 
 from tests.standins import metadata  # noqa: E402
 
-#: Seconds of silence after which a worker's entry is removed.
+#: Seconds without a heartbeat after which a worker's entry is removed.
 ENTRY_TIMEOUT_S = 2.1
-#: Seconds within which a write is done that is carried out late.
+#: Shortest and longest delay of a write that is applied late.
 LATE_WRITE_DELAY_S = (1.0, 4.0)
-#: Seconds between looks at whether a followed table has changed.
+#: Interval at which a feed request checks for changes.
 FEED_POLL_INTERVAL_S = 0.01
-#: Seconds that a transaction takes at rest.
+#: Duration of a transaction without faults.
 COMMIT_DURATION_S = 0.008
 NO_ANSWER_S = 60.0
-#: Changes that are remembered; followers that are further behind read all anew.
+#: Changes kept in the history; readers that are further behind get 410 and must
+#: read the whole table again.
 MAX_HISTORY = 3000
 
 
 class Store(metadata.Platform):
-    """Rows, with everything that may go wrong with them."""
+    """A store with fault injection."""
 
     def __init__(self, address, seed):
         self.set_faults({})
         self.rand = random.Random(f"store/{seed}")
         self.heartbeat_times = {}
-        #: What each worker last wrote about itself.
+        #: Each worker's last registered entry.
         self.entries = {}
         self.history_start = 0
         super().__init__(address)
--- a/tests/standins/uplink.py
+++ b/tests/standins/uplink.py
@@ -1,7 +1,7 @@
-"""The users' platform's store, for an instance whose link carries little.
+"""The users' platform's store behind a link with low bandwidth from the sender.
 
-What the instance sends comes in pieces, as fast as the link lets them, and all requests
-share the link. What the sender has given up is not carried any further.
+Requests are received in chunks at the link's rate, and concurrent requests share the
+link. A request is received no further once its sender has closed the connection.
 """
 
 import socket
@@ -11,16 +11,16 @@
 
 from tests.standins import metadata, server
 
-#: Bytes that are taken off the link at a time.
+#: Size of the chunks in which requests are received.
 CHUNK_BYTES = 4096
-#: Name of a request's connection in its environment.
+#: Key of a request's socket in its WSGI environment.
 CONNECTION_KEY = "tests.connection"
-#: State of a connection whose far end was closed (Linux' tcp_states.h).
+#: TCP state of a connection that the peer has closed (Linux' tcp_states.h).
 CLOSE_WAIT = 8
 
 
 class Handler(server.Handler):
-    """Hands the connection on, so that it is known when its sender gives up."""
+    """Exposes the socket to the application, to detect that the sender closed it."""
 
     def get_environ(self):
         return {**super().get_environ(), CONNECTION_KEY: self.socket}
@@ -33,11 +33,11 @@
 
     def __init__(self, rate):
         self.rate = rate
-        #: Bytes that the link carried, and the time at which it is free again.
+        #: Bytes received so far, and the time at which the link is free again.
         self.carried = 0
         self.free_at = 0.0
-        #: Requests that are on the link. While there are any, it goes by its own
-        #: schedule, so that a busy machine makes it no narrower.
+        #: Requests being received. While there are any, the link's schedule advances
+        #: independently of the machine's load, which would reduce the rate further.
         self.active_requests = 0
         super().__init__()
 
@@ -56,11 +56,11 @@
             self.free_at += len(chunk) / self.rate
             gevent.sleep(max(self.free_at - time.monotonic(), 0))
             if closed_by_sender(req.env[CONNECTION_KEY]):
-                raise ConnectionResetError("given up by its sender")
+                raise ConnectionResetError("sender closed the connection")
             yield chunk
 
 
 def closed_by_sender(connection):
-    """Tell whether the far end of a connection was closed."""
+    """Return whether the peer has closed a connection."""
     state = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     return state[0] == CLOSE_WAIT
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,25 +1,27 @@
-"""Stand-in of workers: one process hosts several, each on its own port.
+"""Worker simulator: one process hosts several workers, each on its own port.
 
 A worker has slots, connections, processors, memory and accelerators, runs tasks
-under leases, and reports usage with a lag. Its guard refuses what does not fit
-and counts that. Every start, end and refusal goes to its execution log
-(``GET /log``), which tests hold promises against. ``POST /faults`` changes how
-it behaves while it runs::
+under leases, and reports usage with a delay. Its capacity guard refuses and logs
+tasks that do not fit. Every start, end and refusal goes to its execution log
+(``GET /log``), which tests check guarantees against. ``POST /faults`` injects
+faults at run time::
 
     {"fail_all": false, "slow": 1.0, "black_hole": false, "lose_starts": false,
      "lose_voids": false, "leaving": false, "stall_seconds": 0.0,
      "answers": "whole"}
 
-``lose_starts`` loses the answers of starts, ``lose_voids`` the orders to stop
-themselves: they have no effect.
+``lose_starts`` drops the answers of start requests. ``lose_voids`` drops the void
+requests themselves, so that they have no effect.
 
-``answers`` may be ``truncated`` (half of each quote's answer, then the end) or
-``mismatched`` (another task's id in it). ``{"silence_open_connections": true}``
-silences the connections that are open at that moment, for good.
+``answers`` may be ``truncated`` (each quote's answer is cut short and the connection
+closed) or ``mismatched`` (it carries another task's id).
+``{"silence_open_connections": true}`` makes all currently open connections stop
+responding permanently.
 
-A task's body may say how it runs: ``work_seconds`` (how long it takes alone),
-``noise`` (how much it slows others: a number, or by the other's kind, such as
-``{"fuel.quote": 1.5, "*": 0.1}`` at full load), ``fail`` (it fails everywhere).
+A task's body may control how it runs: ``work_seconds`` (its duration without
+interference), ``noise`` (its slowdown of other tasks: a number, or one per kind of
+the other task, such as ``{"fuel.quote": 1.5, "*": 0.1}`` at full load), ``fail``
+(it fails on every worker).
 """
 
 from gevent import monkey
@@ -36,15 +38,15 @@
 
 from tests.standins import server  # noqa: E402
 
-#: Run time of a task whose body does not say one, by the end of its kind.
+#: Default duration of a task by the last part of its kind; 0.5 s for all others.
 DEFAULT_DURATION_S = {"quote": 0.01}
-#: Progress is advanced this often.
+#: Interval at which the progress of tasks is advanced.
 TICK_S = 0.02
-#: Seconds by which usage reports lag.
+#: Delay of usage reports.
 USAGE_LAG_S = 1.0
-#: Ended tasks that a worker remembers.
+#: Maximum number of tasks, running and ended, that a worker keeps.
 MAX_TASKS = 20000
-#: Seconds after a task's end for which snapshots list it.
+#: Seconds for which snapshots list a task after its end.
 ENDED_RETENTION_S = 30.0
 
 
@@ -88,14 +90,14 @@
 
 
 def find_options(body):
-    """Return the options in a body, whether it is a task's of a job or not."""
+    """Return the options in a body, which a job's task has nested in its own."""
     if isinstance(body, dict) and isinstance(body.get("body"), dict):
         return {**body["body"], **body}
     return body if isinstance(body, dict) else {}
 
 
 def slowdown_from(other, kind, load):
-    """Return how much `other` slows a task of `kind`; by pair it grows with load."""
+    """Return the slowdown that `other` causes; slowdowns per kind grow with load."""
     noise = other.options.get("noise", 0.0)
     if isinstance(noise, dict):
         return noise.get(kind, noise.get("*", 0.0)) * (0.25 + 0.75 * load)
@@ -106,15 +108,15 @@
     def __init__(self, name, capacity, fetch_object=None, store_object=None):
         self.name = name
         self.capacity = capacity
-        #: Tells this run of the worker from an earlier one, which it forgot.
+        #: Distinguishes this run of the worker from earlier ones, whose state is lost.
         self.boot = secrets.token_hex(8)
         self.tasks = {}
-        self.voided = {}  # task id -> highest generation never to be run
+        self.voided = {}  # task id -> highest generation that must not start
         self.owner_generation = 0
         self.version = 0
         self.changed = gevent.event.Event()
         self.log = []
-        #: Outlives the process, so that a kill leaves the evidence behind.
+        #: Persists the log, so that it can be checked after the process is killed.
         self.log_file = None
         self.usage = {"measured_at": 0.0, "cpus": 0.0, "memory_gb": 0.0, "tasks": {}}
         self.faults = {
@@ -133,7 +135,7 @@
         self.connections = 0
         self.peak_connections = 0
         self.epoch = EPOCH
-        self.silenced_until = 0.0  # connections opened before are silent
+        self.silenced_until = 0.0  # connections opened before this don't respond
 
     def note(self, event, start, **facts):
         entry = {
@@ -164,7 +166,7 @@
         return totals
 
     def begin(self, start):
-        """Start a task, or raise Refused with the reason."""
+        """Start a task; raise `Refused` with the reason if it may not start."""
         task_id = start["task_id"]
         if not start.get("idempotent"):
             if start["owner_generation"] < self.owner_generation:
@@ -203,7 +205,7 @@
         return task
 
     def slowdown(self, task):
-        """Return how much slower `task` runs than alone."""
+        """Return the factor by which interference and faults slow `task` down."""
         running = self.running()
         cpus = sum(t.start["needs"]["cpus"] * t.share for t in running)
         load = min(cpus / self.capacity["cpus"], 1.0)
@@ -256,7 +258,7 @@
             last = now
 
     def run_exactly(self, task):
-        """Run a quote to its end with less jitter than a tick."""
+        """Run a quote to completion with finer timing than the common tick."""
         task.options = {**task.options, "exact": True}
         while task.state == "running":
             left = (task.work_seconds - task.done_seconds) * self.slowdown(task)
@@ -293,7 +295,7 @@
             task.report()
             for task in self.tasks.values()
             if task.state == "running"
-            # The end of a quote was told in its own exchange.
+            # The end of a quote was already reported in the answer to its request.
             or (not task.options.get("exact") and (task.ended_at or 0) >= oldest)
         ]
         return {
@@ -306,7 +308,7 @@
 
 
 class Resource:
-    """All of a worker's HTTP interface, by suffix."""
+    """A worker's HTTP interface; each path has a suffix of its own."""
 
     def __init__(self, worker):
         self.worker = worker
@@ -378,7 +380,7 @@
             }
             return
         if task.start["generation"] == generation:
-            # A later generation runs by right; only the one named is stopped.
+            # Only the given generation is stopped; a later one keeps running.
             self.worker.end(task, "stopped", reason="void")
         resp.media = task.report()
 
@@ -429,7 +431,7 @@
         resp.media = self.worker.snapshot()
 
     def on_get_watch(self, req, resp):
-        """Stream the events of a subject; all workers tell the same ones."""
+        """Stream the events of a subject, which are the same on all workers."""
         self.apply_faults()
         subject = req.get_param("subject", required=True)
         after = req.get_param_as_int("after", default=0)
@@ -437,7 +439,7 @@
         resp.stream = self.events(subject, after)
 
     def events(self, subject, after):
-        """Event n of subject "name:total:epoch" happens n intervals after epoch."""
+        """Yield the events of "name:total:epoch", n at n intervals after epoch."""
         parts = subject.split(":")
         total = int(parts[1]) if len(parts) > 1 else 5
         epoch = float(parts[2]) if len(parts) > 2 else self.worker.epoch
@@ -466,7 +468,7 @@
 
 
 def handler_of(worker):
-    """Return a handler that counts a worker's connections and can silence them."""
+    """Return a handler class that counts a worker's connections and can stall them."""
 
     class Handler(server.Handler):
         def __init__(self, *args, **kwargs):
@@ -502,7 +504,7 @@
     return Handler
 
 
-#: Wall time of event 0 of all watches, unless `--epoch` says another.
+#: Default of `--epoch`: wall time of event 0 of all watches.
 EPOCH = 0.0
 EVENT_INTERVAL_S = 0.2
 
@@ -518,7 +520,7 @@
 
 
 def object_access(address):
-    """Return functions that fetch and store a checkpoint's progress."""
+    """Return functions that fetch and store the progress saved in a checkpoint."""
     import geventhttpclient
 
     host, _, port = address.rpartition(":")
@@ -550,7 +552,7 @@
     parser.add_argument("--connections", type=int, default=64)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--epoch", type=float, default=EPOCH)
-    parser.add_argument("--log-file", help="also append the execution log here")
+    parser.add_argument("--log-file", help="file to also append the execution log to")
     args = parser.parse_args()
     log_file = open(args.log_file, "a", buffering=1) if args.log_file else None
     fetch, store = object_access(args.platform)
@@ -577,7 +579,7 @@
 
 
 def register(args, name, address, capacity, rack):
-    """Enter a worker into the platform's inventory."""
+    """Register a worker in the platform's inventory."""
     import geventhttpclient
 
     host, _, port = args.platform.rpartition(":")
