--- a/tests/bench/capacity.py
+++ b/tests/bench/capacity.py
@@ -1,10 +1,10 @@
-"""Measures what one instance spends at rest and by load, for docs/CAPACITY.md.
+"""Measures the resource use of one instance, idle and under load, for docs/CAPACITY.md.
 
 ``python -m tests.bench.capacity [--seconds 8] [case ...]`` prints a row for each
-case: processor time, resident memory, bytes by the other end, and what the table
-was asked. All is per instance: the mean over the instances of the case. Bytes
-are the kernel's counts of payload on each open TCP connection, in both
-directions, as ``ss`` tells them; connections that closed meanwhile are missing.
+case: CPU time, resident memory, network traffic by kind of peer, and table
+operations. All figures are means per instance. Traffic is the payload in both
+directions on each open TCP connection as reported by ``ss``; connections that
+closed during the measurement are not counted.
 """
 
 from gevent import monkey
@@ -23,12 +23,12 @@
 
 from tests.support import stage, teams  # noqa: E402
 
-#: Seconds for which a case is left alone before it is measured.
+#: Delay between the setup of a case and its measurement.
 SETTLE_TIME_S = 4.0
 DESK_HEADERS = teams.bearer("fuel-desk-token")
-#: Workers and teams that are planned for, and tasks and jobs held in a case.
+#: Workers and teams at the planned scale, and tasks and jobs held by an instance.
 LISTED_WORKERS, TEAMS, HELD_TASKS, HELD_JOBS = 650, 150, 200, 100
-#: Each case: instances, workers, and what is done before and while it is measured.
+#: Case -> instances, workers, function run before and load during the measurement.
 CASES = {
     "idle": (1, 1, None, None),
     "peers-4": (4, 4, None, None),
@@ -50,7 +50,7 @@
 
 
 def list_workers(scene):
-    """List workers of another data centre, as the platform would all of them."""
+    """Register workers of another data centre, since the platform lists them all."""
     own = stage.call(scene.platform, "GET", "/inventory").json()["workers"][0]
     for number in range(LISTED_WORKERS):
         name = f"far-w{number}"
@@ -80,10 +80,10 @@
 
 
 def ask(scene, ends, operation, rate):
-    """Ask at `rate` a second, and return how many were answered well."""
+    """Send `rate` requests a second, and return how many were answered with 200."""
     host, _, port = scene.instances["dc-0"].rpartition(":")
     client = geventhttpclient.HTTPClient(host, port=int(port), concurrency=16)
-    scene.client = client  # Kept open: its bytes are read after this returns.
+    scene.client = client  # Kept open: its traffic is sampled after this returns.
     body, statuses = json.dumps({"work_seconds": 0.01}), []
     headers = {**DESK_HEADERS, "Content-Type": "application/json"}
 
@@ -111,7 +111,7 @@
 
 
 def pace(rate, ends, step):
-    """Call `step` at `rate` a second until `ends`; return what it returned."""
+    """Call `step` at `rate` a second until `ends`; return the list of results."""
     started, done = time.monotonic(), []
     while time.monotonic() < ends:
         done.append(step(len(done)))
@@ -120,7 +120,7 @@
 
 
 def usage(pid):
-    """Return CPU milliseconds and resident megabytes of a process."""
+    """Return the CPU time in ms and the resident memory in MB of a process."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
@@ -129,7 +129,7 @@
 
 
 def sockets(scene, name):
-    """Return the payload bytes so far of each connection, by what is at its end."""
+    """Return the kind of peer and the payload bytes so far of each connection."""
     command = ["ss", "-tinpH", "state", "established"]
     text = subprocess.run(command, capture_output=True, text=True, check=True).stdout
     ends = {a: "workers" for a in scene.workers.values()} | {scene.platform: "platform"}
@@ -152,7 +152,7 @@
 
 
 def case_row(before, after):
-    """Return the row of a case from samples at its start and its end."""
+    """Return a case's row, computed from samples at its start and its end."""
     seconds, count = after[0] - before[0], len(after[2])
     cpu = sum(after[2][n][0] - before[2][n][0] for n in after[2])
     memory = sum(resident for _, resident in after[2].values())
--- a/tests/bench/control.py
+++ b/tests/bench/control.py
@@ -1,9 +1,9 @@
-"""Measures what the control loop does to quotes and batch work under noise.
+"""Measures the effect of the control loop on quotes and batch work.
 
-``python -m tests.bench.control [--seconds 25] [--users fuel-desk plegadora]``
-runs the same waves of batch tasks three times over real processes: without
-noise, with noise and the loop off, with noise and the loop on. It prints a row
-for each run.
+``python -m tests.bench.control [--seconds 25] [--users fuel-desk plegadora]`` runs
+the same waves of batch tasks three times on real processes: without interference,
+with interference and the loop off, with interference and the loop on. It prints a
+row for each run.
 """
 
 from gevent import monkey
@@ -20,18 +20,19 @@
 
 from tests.support import stage, teams  # noqa: E402
 
-#: Seconds that a quote takes alone on its worker.
+#: Duration of a quote without interference.
 QUOTE_DURATION_S = 0.05
-#: What the quotes' 99th percentile should stay under.
+#: Target for the 99th percentile of the quotes' latency, in seconds.
 TARGET_P99_S = 0.1
-#: Seconds between two quotes of one caller; each caller is a task of its own.
+#: Pause between two quotes of one caller; each caller is a greenlet.
 PAUSE_S = 0.1
 CALLERS = 8
 WORKERS = 4
-#: Seconds between two waves of batch jobs, and the tasks of one wave.
+#: Interval between two waves of batch jobs.
 WAVE_INTERVAL_S = 5.0
-#: Each kind of batch task: how much one slows others, and how long it takes.
+#: Kind of batch task -> slowdown of other tasks, duration in seconds.
 KINDS = {"batch.scan": (0.8, 4.0), "batch.tabulate": (0.0, 2.0)}
+#: Kind of batch task -> tasks in a wave.
 TASKS = {"batch.scan": 6, "batch.tabulate": 12}
 OPERATIONS = {"fuel-desk": ("fuel", "quote"), "plegadora": ("tooling", "quotation")}
 
@@ -42,7 +43,7 @@
     label: str
     latencies: list
     refused: int
-    #: Seconds of work done by batch tasks, as if each had run alone.
+    #: Seconds of batch work done, counted in durations without interference.
     work_done: float
     counters: dict
     guard_refusals: int
@@ -96,7 +97,7 @@
 
 
 def ask(scene, user, number, deadline, latencies, refused):
-    """Ask for one quote after the other, at instance after instance."""
+    """Request quotes one after the other from one of the instances."""
     service, operation = OPERATIONS[user]
     addresses = list(scene.instances.values())
     host, _, port = addresses[number % len(addresses)].rpartition(":")
@@ -136,7 +137,7 @@
 
 
 def work_done(log, now):
-    """Return the seconds of work of the batch tasks that ended as done."""
+    """Return the total duration without interference of completed batch tasks."""
     kinds = {e["task_id"]: e["kind"] for e in log if e["event"] == "start"}
     done = [e for e in log if e["event"] == "end" and e["state"] == "done"]
     return sum(KINDS.get(kinds[e["task_id"]], (0, 0.0))[1] for e in done)
--- a/tests/bench/leading.py
+++ b/tests/bench/leading.py
@@ -1,10 +1,10 @@
-"""Measures what leading costs: processor time of one leader by what it spends it on.
+"""Measures the CPU time of the leader, and profiles it.
 
 ``python -m tests.bench.leading [--workers 246] [--starts 300] [--seconds 20]
-[--profile]`` lets one leader place jobs of three kinds on workers that answer over
-HTTP from two processes of their own; the store is in this process. It prints the
-processor time a run and of one core to standard error, and with ``--profile`` where
-it went; the log goes to standard output.
+[--profile]`` lets one leader place jobs of three kinds on simulated workers, which
+answer over HTTP from two other processes; the store is in this process. It prints
+the CPU time per run and the share of a core to standard error, with ``--profile``
+also a profile by function; the log goes to standard output.
 """
 
 from gevent import monkey
@@ -38,18 +38,18 @@
 from tests.standins import pool  # noqa: E402
 
 CAPACITY = resources.Resources(cpus=32, memory_gb=125)
-#: Seconds for which the leader runs before it is measured.
+#: Seconds for which the leader runs before the measurement.
 SETTLE_TIME_S = 4.0
-#: Continuous jobs from the start on.
+#: Number of continuous jobs submitted at the start.
 CONTINUOUS_JOBS = 30
-#: Processes that answer for the workers.
+#: Number of processes that simulate the workers.
 WORKER_PROCESSES = 2
-#: Seconds between the jobs that are handed in together.
+#: Interval between two batches of submitted jobs.
 SUBMIT_INTERVAL_S = 0.02
 
 
 class Store(fakes.Rows):
-    """The store in memory, whose changes can be waited for."""
+    """An in-memory store with commit latency, whose `changes` waits for changes."""
 
     def changes(self, prefix, after, wait, heard=None, most=None):
         deadline = time.monotonic() + wait
@@ -66,7 +66,7 @@
 
 
 def continuous(rand):
-    """A job whose tasks serve users for about a minute."""
+    """Return the steps of a continuous job with 14 tasks and a latency target."""
     step = messages.Step(
         count=14, need=resources.Resources(cpus=6.4, memory_gb=13), continuous=True,
         image=f"serve-{rand.randrange(10)}", latency_target=18.0,
@@ -91,12 +91,12 @@
     )  # fmt: skip
 
 
-#: Each kind of job: what it is made of, its share of the jobs, its priority.
+#: For each kind of job: function that returns its steps, share of jobs, priority.
 KINDS = ((short, 0.27, 0), (best_effort, 0.705, 2), (continuous, 0.025, 0))
 
 
 class Traffic:
-    """Hands in jobs at the rate that makes so many starts a second."""
+    """Submits jobs at the rate that causes `starts` task starts a second."""
 
     def __init__(self, store, starts, rand):
         self.store = store
--- a/tests/bench/ownership.py
+++ b/tests/bench/ownership.py
@@ -1,6 +1,7 @@
-"""Measures what ownership and membership cost and hold, over real processes.
+"""Measures availability under faults and idle cost of ownership and membership.
 
-``python -m tests.bench.ownership cut|outage|kill|peers [--seconds 60]``
+``python -m tests.bench.ownership cut|outage|kill|peers [--seconds 60]`` runs on real
+processes.
 """
 
 import argparse
@@ -32,7 +33,7 @@
 
 
 def print_phase(label, answers, seconds, note=""):
-    """Print one phase: rate and latency of quotes that were answered."""
+    """Print a row with the rate and latency of the quotes answered in a phase."""
     good = sorted(a[4] for a in answers if a[3] == 200)
     bad = len(answers) - len(good)
     p50 = statistics.median(good) * 1000 if good else 0
@@ -75,7 +76,7 @@
 
 
 def cut(args):
-    """Cut one data centre off the platform while it is asked for quotes."""
+    """Disconnect one data centre from the platform under load."""
     staged = start(2, 2)
     names = [n for n in staged.instances if n.startswith("taraz")]
     quote_load = load.Load({n: staged.instances[n] for n in names}, args.callers)
@@ -88,7 +89,7 @@
 
 
 def outage(args):
-    """Take the table away from everybody."""
+    """Make the table unavailable to all instances under load."""
     staged = start(2, 2, DATA_CENTRES[:1])
     quote_load = load.Load(staged.instances, args.callers)
     try:
@@ -101,7 +102,7 @@
 
 
 def kill(args):
-    """Kill one of three instances; callers of it move on as a balancer would."""
+    """Kill one of three instances; its callers stop, as if a balancer moved them."""
     staged = start(3, 3, DATA_CENTRES[:1])
     victim = "shymkent-0"
     others = {n: a for n, a in staged.instances.items() if n != victim}
@@ -132,7 +133,9 @@
         listed = time.monotonic()
         stage.wait_until(fully_usable, 20, "whole")
         now = time.monotonic()
-        print(f"whole after {now - killed:.2f} s ({now - listed:.2f} s after unlisted)")
+        print(
+            f"usable after {now - killed:.2f} s ({now - listed:.2f} s after unlisted)"
+        )
         print_phase("killed until whole", quote_load.since(killed), now - killed)
         lost = [a for a in at_victim.since(killed) if a[3] != 200]
         print(
@@ -146,7 +149,7 @@
 
 
 def usage(staged, name):
-    """Return CPU seconds and resident megabytes of an instance, and its counters."""
+    """Return an instance's CPU seconds, resident memory in MB, and counters."""
     pid = staged.processes[name].pid
     fields = open(f"/proc/{pid}/stat").read().rpartition(")")[2].split()
     seconds = (int(fields[11]) + int(fields[12])) / 100
@@ -155,7 +158,7 @@
 
 
 def peers(args):
-    """Idle cost of one instance by number of peers and of workers, with slopes."""
+    """Measure the idle cost of one instance by number of peers and of workers."""
     print(
         "| instances | workers | % of a core | MB | beats/s | rows read/s | writes/s |"
     )
@@ -177,8 +180,8 @@
             )
             cpu = (last - first) / args.seconds * 100
             print(
-                f"| {instances} | {workers} | {cpu:.2f} | {memory:.0f} | {heartbeats:.1f}"
-                f" | {read:.1f} | {written:.1f} |",
+                f"| {instances} | {workers} | {cpu:.2f} | {memory:.0f}"
+                f" | {heartbeats:.1f} | {read:.1f} | {written:.1f} |",
                 flush=True,
             )
         finally:
--- a/tests/bench/placement.py
+++ b/tests/bench/placement.py
@@ -1,15 +1,15 @@
-"""Compares the choosers on one seed and schedule, over real processes.
+"""Compares the placement policies under the same load, on real processes.
 
 ``python -m tests.bench.placement [--seed N] [--seconds S] [--policies P ...]``
 runs one data centre of six workers and two instances once for each policy.
-Quotes arrive at random times whose rate shifts; batch jobs come in waves, of
-kinds that disturb different quotes; one worker turns slow for a while. A quote's
-time counts from when it was due, so a stalled system can't hide behind its
-callers. The two quiet runs have the same quotes without batch, with and without
-the slow worker; they say what the quotes take when nothing disturbs them.
-``product`` is the learned chooser with the control loop; ``--control`` switches
-the loop of the others. ``--explain N`` tells of each run's N slowest quotes
-where they ran, beside what, and how much of their time the worker took.
+Quotes arrive as a Poisson process with a changing rate; batch jobs arrive in waves,
+of kinds that interfere with different quotes; one worker is slow for part of the
+run. A quote's latency is measured from its scheduled arrival, to avoid coordinated
+omission when the system stalls. The two quiet runs have the same quotes without
+batch work, with and without the slow worker, as a baseline without interference.
+``product`` is the learned policy with the control loop; ``--control`` switches the
+loop of the others. ``--explain N`` prints for the N slowest quotes of each run where
+they ran, what ran beside them, and how much of their latency the worker took.
 """
 
 from gevent import monkey
@@ -27,22 +27,22 @@
 
 from tests.support import stage, teams  # noqa: E402
 
-#: The quiet runs, with and without the slow worker, then the choosers.
+#: Runs without batch work, and whether one worker is slow in them.
 QUIET_RUNS = {"quiet": False, "quiet-slow": True}
 CHOOSERS = ("random", "least-loaded", "two-choices", "learned")
 POLICIES = (*QUIET_RUNS, *CHOOSERS, "product")
 WORKERS = 6
-#: Quotes a second by kind of quote, before the shift.
+#: Mean arrival rate of each kind of quote per second, outside `SHIFT_PERIOD`.
 QUOTE_RATE = {"fuel-desk/fuel/quote": 30.0, "plegadora/tooling/quotation": 20.0}
 QUOTE_DURATION_S = 0.02
-#: What the quotes' 99th percentile should stay under: 1.5 times the quiet one.
+#: Target p99 latency of quotes in seconds: 1.5 times that of the quiet run.
 TARGET_P99_S = 0.04
-#: Middle of the run in which quotes come half as often again.
+#: Part of the run, as shares of its duration, in which rates are 1.5 times as high.
 SHIFT_PERIOD = (0.4, 0.7)
-#: Part of the run in which one worker is slow, and how slow.
+#: Part of the run in which one worker is slow, and by which factor.
 SLOW_PERIOD = (0.6, 0.75)
 SLOW_FACTOR = 4.0
-#: What each kind of batch task adds to others at full load.
+#: Relative slowdown that each kind of batch task adds to other tasks at full load.
 NOISE = {
     "batch.scan": {"fuel.quote": 1.2, "tooling.quotation": 0.2, "*": 0.05},
     "batch.pack": {"fuel.quote": 0.1, "tooling.quotation": 0.9, "*": 0.05},
@@ -52,14 +52,14 @@
 JOBS_IN_WAVE = 12
 TASKS_IN_JOB = 10
 TASK_DURATION_S = 1.0
-#: Seconds after which the p99 called settled counts: the first wave has passed.
+#: Seconds excluded from the settled p99; the first wave is over by then.
 LEARNING_TIME_S = 6.0
-#: Seconds that a quote may take.
+#: Seconds within which a quote must be answered.
 TIMEOUT_S = 1.0
 
 
 def schedule(seed, seconds, batch):
-    """Return what happens when: the same for every policy."""
+    """Return the sorted arrivals of quotes and jobs, the same for every policy."""
     rng = random.Random(seed)
     events = []
     for kind, rate in QUOTE_RATE.items():
@@ -78,7 +78,7 @@
 
 
 class Run:
-    """One policy's run."""
+    """The run of one policy."""
 
     def __init__(self, policy, args):
         self.policy, self.seconds = policy, args.seconds
@@ -208,7 +208,7 @@
 
 
 def settings_of(team):
-    """Return a team's settings, with a target for its quotes."""
+    """Return a team's settings with a latency target for its quotes."""
     settings = teams.example(team)
     for path in QUOTE_RATE:
         name, service, operation = path.split("/")
@@ -223,7 +223,7 @@
 
 
 def attempts(log, task_id):
-    """Return for each attempt of a quote where it ran, how long, beside what."""
+    """Describe each attempt of a quote: worker, state, duration, concurrent tasks."""
     found, running = [], {}
     for entry in log:
         task, worker = entry["task_id"], entry["worker"]
@@ -250,7 +250,7 @@
 
 
 def owned_counts(scene):
-    """Return how many workers each instance owns."""
+    """Return the number of workers that each instance owns."""
     headers = teams.bearer("fuel-desk-token")
     statuses = [
         scene.call(name, "GET", "/v1/status", headers=headers).json()
--- a/tests/bench/quotes.py
+++ b/tests/bench/quotes.py
@@ -1,7 +1,7 @@
-"""Measures quotes through one instance: rate, latency and processor time.
+"""Measures rate, latency and CPU time of quotes through one instance.
 
 ``python -m tests.bench.quotes`` prints a table for 1, 8 and 30 callers, and one
-for hedging switched off and on while one of four workers is slow.
+without and with hedging while one of four workers is slow.
 """
 
 from gevent import monkey
@@ -20,7 +20,7 @@
 
 TOKEN = "fuel-desk-token"
 MEASURE_S = 3.0
-#: Starts an instance that never hedges, for comparison.
+#: Command that starts an instance without hedging, as a baseline.
 NO_HEDGES = (
     "-c",
     "from mangosail import __main__\n"
@@ -52,7 +52,7 @@
 
 
 def measure(bench, callers):
-    """Return a row: callers, quotes/s, p50, p99, failed, CPU ms per quote."""
+    """Measure, and return callers, quotes/s, p50, p99, failed, CPU ms per quote."""
     times, failed = [], []
     process = bench.processes["shymkent-0"]
     before = processor_seconds(process)
