--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long randomised runs of real processes, judged by what the stand-ins logged."""
+"""Randomised fault-injection runs of real processes, checked by the stand-ins' logs."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,6 +1,6 @@
-"""The callers of a soak run: each is a thread with its own random choices.
+"""The clients of a soak run: threads, each with its own random generator.
 
-What they send is drawn from the seed; what they see goes into the history.
+Their requests are drawn from the seed; the results are recorded in the history.
 """
 
 import hashlib
@@ -20,15 +20,15 @@
     ("plegadora", "tooling", "production-order"),
 ]
 WATCHES = [("fuel-desk", "fuel", "tail-watch"), ("plegadora", "tooling", "order-watch")]
-#: The team whose second token names the change of settings that is in force.
+#: The team whose second token identifies the settings change that is in force.
 MARKER_TEAM = "marker"
-#: The token by which the operators race; it stays through all changes.
+#: The token with which operators make concurrent changes; all changes keep it.
 MARKER_OPERATOR = teams.token("marker-token", operator=True)
-#: Times that one change is asked for until its outcome is told.
+#: Maximum number of requests for one change until its outcome is known.
 MAX_CHANGE_ATTEMPTS = 4
-#: Seconds without an event after which a reader takes its watch for silent.
+#: Seconds without an event after which a reader reconnects its watch.
 WATCH_TIMEOUT_S = 4.0
-#: Seconds that a caller waits for one answer.
+#: Timeout of one request.
 CALL_TIMEOUT_S = 12.0
 
 
@@ -40,7 +40,7 @@
         self.over = threading.Event()
         self.threads = []
         self.proposed = 0
-        #: Orders and jobs that some caller sent, by task id.
+        #: Task id -> body of orders sent, and number of tasks of jobs accepted.
         self.orders = {}
         self.jobs = {}
 
@@ -69,11 +69,11 @@
         self.over.wait(chance.expovariate(1 / mean))
 
     def somewhere(self, chance):
-        """Return an instance's name, or now and then the balancer's."""
+        """Return a random instance's name, or the balancer's."""
         return chance.choice([*self.stage.instances, "balancer"])
 
     def call(self, role, team, task_id, where, method, path, body=None, **headers):
-        """Send one request and record what came of it."""
+        """Send one request and record its result in the history."""
         address = self.stage.balancer if where == "balancer" else where
         sent_at = time.time()
         try:
@@ -179,7 +179,7 @@
             self.pause(chance, 1.0)
 
     def change(self, number, chance):
-        """Change what was read through the API, and note what was told of it."""
+        """Read the settings, submit a change, and record the outcome reported."""
         seen = self.call_settings(chance, "GET")
         if seen is None or seen.status != 200:
             return
@@ -188,7 +188,7 @@
         body = {"change_id": f"change-{number}", "content": content,
                 "revision": seen.json()["revision"]}  # fmt: skip
         for _ in range(MAX_CHANGE_ATTEMPTS):
-            # The same change id anywhere tells what became of the first try.
+            # Repeating the change id at any instance returns the first try's outcome.
             answer = self.call_settings(chance, "PUT", body)
             if answer is not None and answer.status == 200:
                 self.history.changes.append(histories.Change(number, time.time()))
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,9 +1,10 @@
-"""The soak on the users' platform: ``python -m tests.soak.deployment --minutes 2``.
+"""Soak test on the users' platform: ``python -m tests.soak.deployment --minutes 2``.
 
-Real instances, workers and the store are processes of their own; each instance
-reaches the store, and all reach each worker, by way of a relay. Faults come from
-outside alone: signals, relays that pass nothing on or reset, and the store's own. The
-verdicts rest on what workers logged and callers were told; any violation ends in 1.
+Instances, simulated workers and the store run as separate processes. Each instance
+connects to the store, and every instance to each worker, through a relay. Faults are
+injected from outside only: signals, relays that stall or reset connections, and faults
+of the store. Verdicts are based on the workers' logs and on the answers that callers
+received; the exit status is 1 on any violation.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 from tests.support import deployed, stage
 
 CALLERS = 3
-#: Seconds after the load in which all that was accepted may come to its end.
+#: Seconds after the load within which all accepted jobs must end.
 SETTLE_TIME_S = 40.0
 STORE_FAULTS = {
     "store_down": {"down": True},
@@ -28,7 +29,7 @@
     "store_late": {"late": 0.4},
     "store_forgets": {"forget": True},
 }
-#: Shortest and longest duration in seconds of each kind of fault.
+#: Kind of fault -> shortest and longest duration.
 DURATIONS_S = {
     "kill": (0.5, 2.0),
     "freeze": (1.0, 7.0),
@@ -42,23 +43,23 @@
 }
 
 
-#: Kinds of faults beside these where workers also keep their names.
+#: Additional kinds of faults in runs in which some workers keep their names.
 NAME_KEEPING_DURATIONS_S = {"resize_worker": (6.0, 12.0)}
-#: Status of a worker that a task has ended, and seconds for which it is away.
+#: Exit status of a worker that a task crashed, and the delay until its restart.
 CRASH_EXIT_STATUS = 86
 CRASH_RESTART_DELAY_S = 1.0
 
 
 class Faults:
-    """Carries faults out; each method returns once its fault is over."""
+    """Injects faults; each method returns once its fault is over."""
 
     def __init__(self, deployment):
         self.deployment = deployment
         self.processes = deployment.processes
         self.relays = deployment.relays
-        #: Processes that were killed, with the wall times.
+        #: (process name, wall time) of each process that was killed.
         self.kills = []
-        #: What ended by itself, or not in time.
+        #: Descriptions of processes that ended by themselves or stopped too late.
         self.unexpected_exits = []
 
     def carry_out(self, fault, started):
@@ -105,12 +106,12 @@
             try:
                 stage.call(self.relays[name].address, "POST", "/resize", resize)
             except OSError:
-                # The worker is away; its next life has all its cores.
+                # The worker is down; it has all its cores again after its restart.
                 return
             time.sleep(seconds if share < 1 else 0)
 
     def restart_crashed(self, until):
-        """Start workers again that crashed under a task, some seconds later."""
+        """Restart workers that were crashed by a task, after a delay."""
         while time.monotonic() < until:
             for name, process in list(self.processes.items()):
                 if name.startswith("worker") and process.poll() == CRASH_EXIT_STATUS:
@@ -127,27 +128,28 @@
             self.unexpected_exits.append(f"{name}: ended with status {status}")
 
 
-def table_of(terms=DURATIONS_S):
-    """Return the kinds of faults with what they may hit."""
+def table_of(durations=DURATIONS_S):
+    """Return rows of kind of fault, its possible targets and range of durations."""
     instances = [f"instance-{number}" for number in range(deployed.INSTANCES)]
     workers = [f"worker-{number}" for number in range(deployed.WORKERS)]
-    targets = {kind: workers if "worker" in kind else instances for kind in terms}
+    targets = {kind: workers if "worker" in kind else instances for kind in durations}
     targets.update({kind: ["store"] for kind in STORE_FAULTS})
-    return [(kind, targets[kind], span) for kind, span in terms.items()]
+    return [(kind, targets[kind], span) for kind, span in durations.items()]
 
 
-def run(seconds, seed, gap=schedule.MEAN_GAP_S, settle=SETTLE_TIME_S, lives=False):
-    """Play a run, and return its verdicts and the folder with all logs.
+def run(seconds, seed, gap=schedule.MEAN_GAP_S, settle=SETTLE_TIME_S, crashing=False):
+    """Execute a run, and return its verdicts and the folder with all logs.
 
-    With `lives` tasks crash workers, some keep their names, and capacity changes.
+    With `crashing`, tasks crash workers, some workers keep their names across restarts,
+    and capacity changes.
     """
-    deployment = deployed.Deployment(seed, lives)
+    deployment = deployed.Deployment(seed, crashing)
     faults = Faults(deployment)
     try:
         deployment.start_all()
-        terms = DURATIONS_S | NAME_KEEPING_DURATIONS_S if lives else DURATIONS_S
-        table = table_of(terms)
-        if lives:
+        durations = DURATIONS_S | NAME_KEEPING_DURATIONS_S if crashing else DURATIONS_S
+        table = table_of(durations)
+        if crashing:
             # As often as all else that befalls workers.
             table += [row for row in table if row[0] in NAME_KEEPING_DURATIONS_S] * 2
         planned = schedule.draw_from(seed, seconds, table, gap)
@@ -156,7 +158,7 @@
                 f"  {fault.at:6.1f} {fault.seconds:5.1f} s {fault.kind} {fault.target}"
             )
         sys.stdout.flush()
-        callers = [placed.Caller(n, seed, deployment, lives) for n in range(CALLERS)]
+        callers = [placed.Caller(n, seed, deployment, crashing) for n in range(CALLERS)]
         started = time.monotonic()
         threads = [
             threading.Thread(target=caller.run, args=(started + seconds,))
@@ -165,7 +167,7 @@
             threading.Thread(target=faults.carry_out, args=(fault, started))
             for fault in planned
         ]
-        if lives:
+        if crashing:
             until = started + seconds + settle
             threading.Thread(
                 target=faults.restart_crashed, args=(until,), daemon=True
@@ -186,13 +188,15 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--minutes", type=float, default=1.0)
-    parser.add_argument("--seed", type=int, default=0, help="0 draws one")
+    parser.add_argument("--seed", type=int, default=0, help="0 picks a random seed")
     parser.add_argument("--gap", type=float, default=schedule.MEAN_GAP_S)
-    parser.add_argument("--lives", action="store_true", help="second lives, crashes")
+    parser.add_argument(
+        "--lives", action="store_true", help="worker crashes, kept names"
+    )
     args = parser.parse_args()
     seed = args.seed or random.SystemRandom().randrange(1, 1_000_000)
     print(f"seed {seed}, {args.minutes:g} minutes", flush=True)
-    verdicts, folder = run(args.minutes * 60, seed, args.gap, lives=args.lives)
+    verdicts, folder = run(args.minutes * 60, seed, args.gap, crashing=args.lives)
     print(f"seed {seed}, logs in {folder}")
     print(oracle.table_of(verdicts))
     sys.exit(1 if any(verdict.violations for verdict in verdicts) else 0)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries a schedule out on a stage, one thread for each fault."""
+"""Injects the faults of a schedule into a stage, with one thread for each fault."""
 
 import signal
 import threading
@@ -6,11 +6,11 @@
 
 from tests.support import stage as stages
 
-#: Seconds that a restarted instance may take until it counts as back.
+#: Seconds to wait for a restarted instance to become ready.
 RESTART_TIMEOUT_S = 15.0
-#: Seconds that a planned stop may take.
+#: Seconds within which an instance must exit after SIGTERM.
 STOP_TIMEOUT_S = 30.0
-#: What a worker's fault switches on and off.
+#: Kind of worker fault -> flag, value during the fault, value without it.
 WORKER_FLAGS = {
     "fail_all": ("fail_all", True, False),
     "black_hole": ("black_hole", True, False),
@@ -54,7 +54,7 @@
         try:
             getattr(self, fault.kind, self.toggle)(fault)
         except OSError as exc:
-            # The target may just be down by another fault.
+            # The target may be down because of another fault.
             print(f"fault {fault}: {exc}", flush=True)
         for interval in intervals:
             interval.ended = time.time()
@@ -133,7 +133,7 @@
         self.stage.restart(process)
 
     def leaving(self, fault):
-        """The worker leaves for good, and another one takes its place."""
+        """Mark the worker as permanently leaving, after starting a replacement."""
         data_centre = fault.target.rpartition("-")[0]
         with self.lock:
             self.stage.start_workers(data_centre, 1, **self.worker_options())
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,4 +1,4 @@
-"""What the callers of a soak run saw, and which faults were on when."""
+"""Records what the callers of a soak run observed, and when faults were active."""
 
 import dataclasses
 import threading
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """One exchange of a caller; `status` is None when no whole answer came."""
+    """A request and its answer; `status` is None without a complete answer."""
 
     role: str  # quote, order, ask, cancel, job
     task_id: str
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class Interval:
-    """A fault on `target` from `began` until `ended`."""
+    """A fault that affected `target` from `began` until `ended`."""
 
     kind: str
     target: str
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A settings change that an operator was told is accepted."""
+    """A settings change that was reported to an operator as accepted."""
 
     number: int
     accepted_at: float
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sighting:
-    """Whether `instance` had change `number` in force at `at`."""
+    """An observation that `instance` had change `number` in force at time `at`."""
 
     instance: str
     number: int
@@ -53,12 +53,12 @@
 
 @dataclasses.dataclass
 class Watch:
-    """A watch over all its resumes, as its reader saw it."""
+    """A watch as seen by its reader, across all resumes."""
 
     subject: str
     total: int
     events: list = dataclasses.field(default_factory=list)
-    #: Each point named for resuming, with the last event seen by then.
+    #: Each resume point received, with the last event received before it.
     points: list = dataclasses.field(default_factory=list)
     resumes: int = 0
     finished: bool = False
@@ -73,8 +73,8 @@
         self.sightings = []
         self.watches = []
         self.kills = []  # (worker, wall time)
-        self.unexpected_exits = []  # processes that ended by themselves: text
-        self.refused_changes = []  # numbers of changes told not_made
+        self.unexpected_exits = []  # descriptions of processes that ended by themselves
+        self.refused_changes = []  # numbers of changes reported as not_made
 
     def begin(self, kind, target):
         interval = Interval(kind, target, time.time())
@@ -82,7 +82,7 @@
         return interval
 
     def was_disturbed(self, instance, since, until, kinds):
-        """Tell whether a fault bore on `instance` in that time."""
+        """Return whether a fault of `kinds` affected `instance` in that period."""
         return any(
             fault.overlaps(since, until)
             and fault.target in (instance, "platform")
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,6 +1,6 @@
-"""Judges a soak run: one verdict per promise, from the stand-ins' own logs.
+"""Test oracle of soak runs: one verdict per guarantee, from the stand-ins' logs.
 
-The product's word counts for nothing here but as what its callers were told.
+The product's own data is not trusted; only the answers to its callers are checked.
 """
 
 import collections
@@ -8,20 +8,20 @@
 import itertools
 import json
 
-#: Seconds that may pass between a worker's leaving and its last start.
+#: Maximum time between a worker's leaving and its last start.
 LEAVING_BOUND_S = 3.0 + 0.5
-#: Seconds within which an accepted change is in force, and the probes' interval.
+#: Maximum time until an accepted change is in force, plus the probes' interval.
 IN_FORCE_BOUND_S = 5.0 + 0.7
-#: Faults that excuse an instance from having a change in force in time.
+#: Faults during which an instance need not have a change in force in time.
 EXCUSING_FAULTS = ("kill", "freeze", "cut", "cut_data_centre", "stop", "table_down")
-#: Evidence kept for each promise.
+#: Maximum number of violations printed for each guarantee.
 MAX_SHOWN = 3
 NEVER = float("inf")
 
 
 @dataclasses.dataclass
 class Verdict:
-    """One promise: how often it was checked, and what broke it."""
+    """The number of checks of one guarantee, and its violations."""
 
     promise: str
     checks: int = 0
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One execution of one generation of a task on a worker."""
+    """An execution of one generation of a task on a worker."""
 
     worker: str
     task_id: str
@@ -55,7 +55,7 @@
 
 
 class Evidence:
-    """All logs of a run, read once."""
+    """The combined logs of a run."""
 
     def __init__(self, entries, kills, commits, capacities, history):
         self.history = history
@@ -66,7 +66,7 @@
         self.by_task = collections.defaultdict(list)
         for run in self.runs:
             self.by_task[request_of(run)].append(run)
-        #: The order in which the table took the changes of settings.
+        #: Numbers of the settings changes in the order of their commits.
         self.changes = [
             int(json.loads(write["value"])["change_id"].rpartition("-")[2])
             for commit in commits
@@ -87,7 +87,7 @@
         ]
 
     def durable(self):
-        """Return the runs of each piece of work that is not a quote."""
+        """Return task id -> runs of all work that is not a quote."""
         return {
             task_id: runs
             for task_id, runs in self.by_task.items()
@@ -96,7 +96,7 @@
 
 
 def find_runs(entries, kills):
-    """Pair starts with ends; a worker's kill ends what it ran."""
+    """Match starts with ends; killing a worker ends its running tasks."""
     ends = {
         (e["worker"], e["task_id"], e["generation"]): e
         for e in entries
@@ -118,7 +118,7 @@
 
 
 def request_of(run):
-    """Return the id of a run's request; each attempt at a quote has its own."""
+    """Return the id of a run's request, without the attempt's suffix for quotes."""
     if run.kind.rpartition(".")[2] in ("quote", "quotation"):
         return run.task_id.partition("~")[0]
     return run.task_id
@@ -129,8 +129,8 @@
 
 
 def within_capacity(evidence):
-    """1: what each worker ran at a time, by its starts and ends."""
-    verdict = Verdict("1 no worker given more than it carries")
+    """1: resources in use on each worker stay within its capacity."""
+    verdict = Verdict("1 no worker loaded beyond its capacity")
     changes = collections.defaultdict(list)
     for run in evidence.runs:
         changes[run.worker].append((run.since, 1, run))
@@ -151,7 +151,7 @@
 
 
 def guards_unused(evidence):
-    """1b: starts that only the worker's own guard kept away."""
+    """1b: no start had to be refused by a worker's capacity guard."""
     verdict = Verdict("1b the workers' guards were never needed")
     verdict.checks = len(evidence.runs)
     reasons = collections.Counter()
@@ -168,7 +168,7 @@
 
 
 def no_overlap(evidence):
-    """2: no two runs of the same piece of work overlap."""
+    """2: no two runs of the same durable work overlap."""
     verdict = Verdict("2 nothing durable ran in two places at once")
     for task_id, runs in evidence.durable().items():
         ordered = sorted(runs, key=lambda run: run.since)
@@ -179,7 +179,7 @@
 
 
 def at_most_once(evidence):
-    """3: orders are started once in all logs."""
+    """3: each order is started at most once in all logs."""
     verdict = Verdict("3 non-idempotent work ran at most once")
     for task_id, runs in evidence.durable().items():
         if task_id in evidence.history.orders:
@@ -188,7 +188,7 @@
 
 
 def resumed_once(evidence):
-    """4: the generation after an eviction starts once, and no earlier one."""
+    """4: evicted work starts again in a later generation, each generation once."""
     verdict = Verdict("4 evicted work resumed exactly once")
     evicted = {
         (row["request"]["team"] + "/" + row["request"]["request_id"], row["generation"])
@@ -216,7 +216,7 @@
 
 
 def whole_answers(evidence):
-    """5: each answered quote carries its own request."""
+    """5: the answer to each quote belongs to its request."""
     verdict = Verdict("5 every answered quote was whole and its own")
     statuses = collections.Counter()
     for call in evidence.history.calls:
@@ -237,7 +237,7 @@
 
 
 def not_run(evidence, role, title):
-    """6: what was told not_run has no start, unless it was sent again."""
+    """6: work reported as not_run has no start, unless it was sent again."""
     verdict = Verdict(title)
     racing = 0
     sent = collections.defaultdict(list)
@@ -250,14 +250,14 @@
         others = [c for c in sent[call.task_id] if c is not call]
         final = "retry-after" not in call.headers
         if not final and any(c.ended_at >= call.sent_at for c in others):
-            # Another copy was on its way or came later, and may well have run.
+            # Another copy was in flight or sent later, and may have run.
             racing += 1
             continue
         runs = evidence.by_task.get(call.task_id, [])
         verdict.check(
             not runs,
             lambda c=call, r=runs: (
-                f"{c.role} {c.task_id} told {c.status} {c.answer} by {c.instance}"
+                f"{c.role} {c.task_id} got {c.status} {c.answer} from {c.instance}"
                 f" at {c.ended_at:.3f}, but {r}"
             ),
         )
@@ -266,8 +266,8 @@
 
 
 def completed(evidence):
-    """7: what was told completed has one end, with that answer."""
-    verdict = Verdict("7 told completed: one end, with that answer")
+    """7: work reported as completed has exactly one end, with that answer."""
+    verdict = Verdict("7 reported completed: one end, with that answer")
     for call in evidence.history.calls:
         if call.role not in ("order", "ask") or outcome(call) != "completed":
             continue
@@ -275,13 +275,13 @@
         body = evidence.history.orders[call.task_id]
         verdict.check(
             ended_as_told(call.answer, call.task_id, body, runs),
-            lambda c=call, r=runs: f"{c.task_id} told {c.answer}, but {r}",
+            lambda c=call, r=runs: f"{c.task_id} reported as {c.answer}, but {r}",
         )
     return verdict
 
 
 def ended_as_told(told, task_id, body, runs):
-    """Tell whether the logs hold the one end that a caller was told of."""
+    """Return whether the logs have exactly one end, matching the caller's answer."""
     if told.get("failed"):
         ends = [run.state for run in runs]
         return len(ends) == 1 and ends[0] in ("failed", "stopped", "killed")
@@ -296,7 +296,7 @@
 
 
 def nothing_lost(evidence, last_orders):
-    """8: what was accepted ends, or is unknown for a reason that can be named."""
+    """8: accepted work ends, or is unknown because its worker was killed."""
     verdict = Verdict("8 no accepted order was lost")
     unfinished = collections.Counter()
     accepted = {
@@ -307,7 +307,7 @@
     for task_id in sorted(accepted | set(evidence.durable())):
         call = last_orders.get(task_id)
         if call is None:
-            continue  # a job's task, judged with its job
+            continue  # a task of a job, checked by `jobs_end`
         told = outcome(call) if call.status in (200, 202) else None
         if told not in (None, "unknown"):
             verdict.checks += 1
@@ -315,13 +315,13 @@
         runs = evidence.by_task.get(task_id, [])
         why = runs[-1].state if runs else "never started"
         unfinished[why] += 1
-        # What a killed worker ran can't be known; the caller is told so for good.
+        # The outcome on a killed worker can't be known, and callers get that answer.
         end = (call.answer or {}).get("reason"), (call.answer or {}).get("retry_after")
         excused = why == "killed" and told == "unknown" and end == ("worker_lost", None)
         verdict.check(
             excused,
             lambda t=task_id, c=call, r=runs: (
-                f"{t} last told {c.status} {c.answer}, ran {r}"
+                f"{t} last reported as {c.status} {c.answer}, ran {r}"
             ),
         )
     verdict.notes.append(
@@ -331,16 +331,18 @@
 
 
 def jobs_end(last_jobs):
-    """8b: every job that was accepted reaches its end, told by some instance."""
+    """8b: some instance reports the end of every accepted job."""
     verdict = Verdict("8b no accepted job was lost")
     for task_id, (tasks, answer) in last_jobs.items():
         ended = answer and answer["completed"] + answer["failed"] == tasks
-        verdict.check(ended, f"job {task_id} of {tasks} tasks last told {answer}")
+        verdict.check(
+            ended, f"job {task_id} of {tasks} tasks last reported as {answer}"
+        )
     return verdict
 
 
 def leaving(evidence):
-    """9: a worker that leaves gets no start once the term is over."""
+    """9: a leaving worker gets no new starts after `LEAVING_BOUND_S`."""
     verdict = Verdict("9 leaving workers got no new work after 3 s")
     for fault in evidence.history.faults:
         if fault.kind != "left":
@@ -355,8 +357,8 @@
 
 
 def graceful(evidence):
-    """10: what an instance was working on when told to stop was answered."""
-    verdict = Verdict("10 planned stops cut nothing off")
+    """10: requests in flight at an instance's planned stop are answered."""
+    verdict = Verdict("10 planned stops dropped no request")
     for fault in evidence.history.faults:
         if fault.kind != "stop":
             continue
@@ -374,7 +376,7 @@
 
 
 def settings(evidence):
-    """11: accepted changes are in force in time, and none comes back."""
+    """11: accepted changes are in force in time and never revert to earlier ones."""
     verdict = Verdict("11 accepted settings in force in 5 s, never reverting")
     history = evidence.history
     seen = collections.defaultdict(list)
@@ -384,9 +386,13 @@
     order = {number: place for place, number in enumerate(evidence.changes)}
     verdict.check(len(order) == len(evidence.changes), "a change was made twice")
     for number in history.refused_changes:
-        verdict.check(number not in order, f"change {number} told not_made, but was")
+        verdict.check(
+            number not in order, f"change {number} reported as not_made, but made"
+        )
     for change in accepted:
-        verdict.check(change.number in order, f"{change} told accepted, but not made")
+        verdict.check(
+            change.number in order, f"{change} reported as accepted, but not made"
+        )
     accepted = [change for change in accepted if change.number in order]
     delays = []
     for name, sightings in seen.items():
@@ -418,7 +424,7 @@
 
 
 def watches(evidence):
-    """12: each watch's reader saw 1, 2, 3 ... over all resumes."""
+    """12: each watch delivers events 1, 2, 3 ... without gaps across resumes."""
     verdict = Verdict("12 watches: no event lost or doubled over resumes")
     for watch in evidence.history.watches:
         expected = list(range(1, len(watch.events) + 1))
@@ -444,7 +450,7 @@
 
 
 def alive(evidence, logs, exits):
-    """13: no instance ended by itself, none logged a traceback."""
+    """13: no instance ended by itself or logged a traceback."""
     verdict = Verdict("13 no instance aborted, no tracebacks")
     for name, status in exits.items():
         verdict.check(status is None, f"{name} ended with status {status}")
@@ -470,8 +476,8 @@
         at_most_once(evidence),
         resumed_once(evidence),
         whole_answers(evidence),
-        not_run(evidence, ("order", "ask"), "6 told not_run: has no start in any log"),
-        not_run(evidence, ("quote",), "6b a quote told not_run: has no start either"),
+        not_run(evidence, ("order", "ask"), "6 reported not_run: no start in any log"),
+        not_run(evidence, ("quote",), "6b quote reported not_run: no start in any log"),
         completed(evidence),
         nothing_lost(evidence, last_orders),
         jobs_end(last_jobs),
--- a/tests/soak/placed.py
+++ b/tests/soak/placed.py
@@ -1,4 +1,4 @@
-"""The soak's callers on the users' platform; what they were told, held against work."""
+"""Soak callers on the users' platform, and checks of their answers against the logs."""
 
 import collections
 import dataclasses
@@ -10,21 +10,21 @@
 from tests.soak import oracle
 from tests.support import deployed, stage
 
-#: Seconds for which a caller waits for an answer, and between its tries.
+#: Timeout of a request, and delay between attempts.
 CALL_TIMEOUT_S = 3.0
 RETRY_INTERVAL_S = 0.3
 MAX_ATTEMPTS = 6
-#: Seconds after a cancel's answer after which nothing of the job may start: the
-#: platform's bound, and the longest faults that may keep the leader from it.
+#: Seconds after the answer to a cancellation after which nothing of the job may start:
+#: the platform's bound, plus the longest fault that may delay the leader.
 CANCEL_BOUND_S = 4.0 + 8.0
-#: Texts of jobs that can't be done, as the stand-in of workers reads them.
+#: Specs of jobs that can't succeed, as interpreted by the simulated workers.
 FAILS = "fails"
 CRASHES = "crashes"
-#: Share of the jobs whose tasks crash the workers that start them.
+#: Share of jobs whose tasks crash the workers that start them.
 CRASHING_SHARE = 0.01
-#: Starts of a task that crashes its workers at most: three, and two more.
+#: Maximum number of starts of a task that crashes its workers: three, and two more.
 MAX_STARTS = 5
-#: Seconds after which a leader has to know that a worker's capacity has shrunk.
+#: Seconds within which the leader must notice that a worker's capacity has shrunk.
 SHRINK_BOUND_S = 4.5
 REFUSALS = (429, 503)
 FINAL = ("completed", "failed", "cancelled")
@@ -33,13 +33,14 @@
 
 @dataclasses.dataclass
 class Order:
-    """A job, and what its caller was told of it."""
+    """A job, and the answers that its caller received."""
 
     job_id: str
     body: dict
     long_running: bool = False
     answers: list = dataclasses.field(default_factory=list)
-    #: Wall times at which it was accepted, and its cancelling asked and answered.
+    #: Wall times of the answers that accepted the job and that confirmed its
+    #: cancellation, and whether a cancellation was requested.
     accepted_at: float | None = None
     cancel_asked: bool = False
     cancelled_at: float | None = None
@@ -47,11 +48,11 @@
 
 
 class Caller:
-    """Hands jobs in, repeats, cancels and asks, at whichever instance comes up."""
+    """Submits, repeats, cancels and queries jobs, each at a random instance."""
 
-    def __init__(self, number, seed, deployment, lives=False):
+    def __init__(self, number, seed, deployment, crashing=False):
         #: True if some jobs have tasks that crash the workers that start them.
-        self.lives = lives
+        self.crashing = crashing
         self.chance = random.Random(f"caller/{number}/{seed}")
         self.fronts = sorted(deployment.fronts.values())
         self.orders = []
@@ -87,7 +88,7 @@
         if not long_running and chance.random() < 0.5:
             steps.append({"count": chance.randint(1, 3), "cpu": 1000, "after": [0]})
         spec = "fails" if chance.random() < 0.05 else f"{chance.uniform(0.1, 0.8):.2f}"
-        if self.lives and not long_running and chance.random() < CRASHING_SHARE:
+        if self.crashing and not long_running and chance.random() < CRASHING_SHARE:
             spec, steps = CRASHES, [{**steps[0], "count": 1}]
         body = {"spec": "lasts" if long_running else spec, "steps": steps}
         if not long_running and chance.random() < 0.1:
@@ -96,7 +97,7 @@
         return Order(f"{chance.getrandbits(64):016x}", body, long_running)
 
     def act_on_earlier_job(self):
-        """Repeat, ask for, or cancel an earlier job."""
+        """Submit an earlier job again, cancel it, or query it."""
         order = self.chance.choice(self.orders)
         action = self.chance.random()
         if action < 0.3 and order.accepted_at:
@@ -115,7 +116,7 @@
             time.sleep(RETRY_INTERVAL_S)
 
     def call(self, method, order, body=None):
-        """Return the answer's status, or the state that it tells; None if none came."""
+        """Return the answer's status, or for a query the state; None without answer."""
         try:
             answer = stage.call(
                 self.chance.choice(self.fronts), method, deployed.PREFIX + order.job_id,
@@ -132,7 +133,7 @@
 
 
 def settle(callers, deadline):
-    """Ask for all accepted jobs until each has ended."""
+    """Query all accepted jobs until each has ended or the deadline is reached."""
     waiting = [(c, o) for c in callers for o in c.orders if o.accepted_at]
     while waiting and time.monotonic() < deadline:
         waiting = [(c, o) for c, o in waiting if c.call("GET", o) not in FINAL]
@@ -141,7 +142,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """A run of a task on a worker, by wall time."""
+    """A run of a task on a worker, with wall times."""
 
     worker: str
     task: str
@@ -152,17 +153,17 @@
 
 
 def runs_of(entries, kills):
-    """Pair starts with ends; a worker's next life ends what the last one ran."""
+    """Match starts with ends; a worker's crash, kill or restart ends what it ran."""
     ends = {
         (e["worker"], e["task"], e["run"]): e for e in entries if e["event"] == "end"
     }
     births = grouped((e for e in entries if e["event"] == "born"), "address")
     deaths = {}
-    for address, lives in births.items():
-        for life, later in itertools.pairwise(lives):
+    for address, incarnations in births.items():
+        for earlier, later in itertools.pairwise(incarnations):
             killed = [at for where, at in kills if where == address]
             before = [at for at in killed if at <= later["at"]]
-            deaths[life["worker"]] = max(before, default=later["at"])
+            deaths[earlier["worker"]] = max(before, default=later["at"])
     for entry in entries:
         if entry["event"] == "crash":
             deaths[entry["worker"]] = entry["at"]
@@ -185,7 +186,7 @@
 
 
 def judge(callers, entries, faults):
-    """Return a verdict for each promise."""
+    """Return a verdict for each guarantee."""
     orders = {o.job_id: o for c in callers for o in c.orders}
     kills = [(faults.relays[name].address, at) for name, at in faults.kills]
     runs, deaths = runs_of(entries, kills)
@@ -207,7 +208,7 @@
 
 
 def judge_ends(orders):
-    verdict = oracle.Verdict("what was accepted comes to its end")
+    verdict = oracle.Verdict("every accepted job ends")
     for order in orders.values():
         if order.accepted_at and not order.cancel_asked:
             hopeless = order.body["spec"] in (FAILS, CRASHES)
@@ -227,7 +228,7 @@
                 )
                 if run.how != "done":
                     continue
-                # An end that was lost with its worker's lease or life is none.
+                # An end may be lost if its worker's lease expired or it restarted.
                 over = [e["at"] for e in lapses[run.worker]]
                 over.append(deaths.get(run.worker, NEVER))
                 excused = any(run.until - 0.1 <= at <= later.since for at in over)
@@ -236,8 +237,8 @@
 
 
 def judge_crashes(callers, orders, by_task, entries):
-    """Return what must hold where tasks crash workers and capacity changes."""
-    if not any(caller.lives for caller in callers):
+    """Return the verdicts for runs with crashing workers and changing capacity."""
+    if not any(caller.crashing for caller in callers):
         return []
     given_up = oracle.Verdict("a task that crashes its workers is given up")
     for task, runs in by_task.items():
@@ -248,7 +249,7 @@
 
 
 def judge_capacity(orders, by_task, entries):
-    """Hold each start against the cores that its worker had then."""
+    """Check each start against the capacity of its worker at that time."""
     verdict = oracle.Verdict("no start brings a worker over its capacity")
     changes = grouped((e for e in entries if e["event"] == "capacity"), "worker")
     runs = [(run, cpu_of(orders, run)) for each in by_task.values() for run in each]
@@ -272,7 +273,7 @@
 
 
 def judge_order(orders, by_task):
-    verdict = oracle.Verdict("a step begins once the one before it is done")
+    verdict = oracle.Verdict("a step starts only once the one before it is done")
     for task, runs in by_task.items():
         job_id, occurrence, step, _ = task.split(".")
         order = orders.get(job_id)
@@ -289,11 +290,11 @@
 
 def judge_requested(orders, runs):
     verdict = oracle.Verdict(
-        "nothing runs that was refused, cancelled or not asked for"
+        "nothing runs that was refused, cancelled or not requested"
     )
     for run in runs:
         order = orders.get(run.task.partition(".")[0])
-        verdict.check(order is not None, f"{run}: not asked for")
+        verdict.check(order is not None, f"{run}: not requested")
         if order is None:
             continue
         refused = all(status in REFUSALS for status in order.answers)
@@ -308,7 +309,7 @@
 
 
 def judge_reported(orders, by_task):
-    verdict = oracle.Verdict("completed is said of what is done, and stays")
+    verdict = oracle.Verdict("only finished work is reported completed, and stays so")
     for order in orders.values():
         told = [state for _, state in sorted(order.states)]
         verdict.check(len(set(told)) <= 1, f"{order.job_id}: {told}")
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,7 +1,8 @@
-"""The driver: ``python -m tests.soak.run --minutes 2 --seed 7``.
+"""Soak test driver: ``python -m tests.soak.run --minutes 2 --seed 7``.
 
-Starts two data centres, runs callers and faults drawn from the seed, lets all
-settle, and prints a verdict per promise. Ends with status 1 on any violation.
+Starts two data centres, runs callers and faults drawn from the seed, waits until
+accepted work has ended, and prints a verdict for each guarantee. The exit status is 1
+on any violation.
 """
 
 import argparse
@@ -20,12 +21,12 @@
 DATA_CENTRES = ("shymkent", "duran")
 WORKERS = 3
 INSTANCES = 2
-#: Seconds after the last fault in which all that was accepted may come to its end.
+#: Seconds after the last fault within which all accepted work must end.
 SETTLE_TIME_S = 30.0
 
 
 class Soak:
-    """One run; `seconds` of load and faults, then the settling."""
+    """One run: `seconds` of load and faults, then up to `settle` s to finish."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self.started_at = time.time()
 
     def run(self):
-        """Run to the end and return the verdicts."""
+        """Execute the run and return the verdicts."""
         try:
             self.prepare()
             self.load()
@@ -123,7 +124,7 @@
         return oracle.judge(evidence, last_orders, last_jobs, logs, exits)
 
     def last_orders(self, deadline):
-        """Ask for each order until it has a final outcome."""
+        """Query each order until it has a final outcome."""
         chance = random.Random(f"{self.seed}/settle")
         open_ids = sorted(self.callers.orders)
         last = {}
@@ -133,7 +134,7 @@
                     break
                 where = chance.choice(sorted(self.stage.instances))
                 last[task_id] = self.callers.ask(task_id, where)
-            # What nobody knows of was never accepted, or is lost for good.
+            # Orders that are unknown were never accepted or are lost for good.
             open_ids = [
                 t
                 for t in open_ids
@@ -148,7 +149,7 @@
         return last
 
     def last_jobs(self, deadline):
-        """Ask all instances for each job until one says that it has ended."""
+        """Query all instances for each job until one reports its end."""
         found = {}
         for task_id, tasks in self.callers.jobs.items():
             best = self.final_answer(task_id, tasks)
@@ -167,7 +168,7 @@
         return None
 
     def execution_log(self):
-        """Read the workers' log files: they outlive killed workers."""
+        """Return the entries of the workers' log files, also of killed workers."""
         entries = []
         for path in sorted(self.stage.logs.glob("worker-*.jsonl")):
             for line in path.read_text().splitlines():
@@ -178,7 +179,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--minutes", type=float, default=2.0)
-    parser.add_argument("--seed", type=int, default=0, help="0 draws one")
+    parser.add_argument("--seed", type=int, default=0, help="0 picks a random seed")
     parser.add_argument("--gap", type=float, default=schedule.MEAN_GAP_S)
     parser.add_argument("--kinds", nargs="*", default=list(schedule.KINDS))
     args = parser.parse_args()
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,9 +1,9 @@
-"""Which faults come when: drawn from the seed alone, before the run starts."""
+"""Generates the fault schedule of a run from its seed, before the run starts."""
 
 import dataclasses
 import random
 
-#: Kinds of faults by what they hit, each with its shortest and longest duration.
+#: Kind of fault -> shortest and longest duration in seconds, by kind of target.
 INSTANCE = {
     "kill": (0.5, 2.0),
     "freeze": (1.0, 8.0),
@@ -26,9 +26,9 @@
 }
 DATA_CENTRE = {"cut_data_centre": (3.0, 12.0)}
 KINDS = {**INSTANCE, **WORKER, **PLATFORM, **DATA_CENTRE}
-#: Mean seconds between the beginnings of two faults.
+#: Mean interval between the starts of two faults.
 MEAN_GAP_S = 3.0
-#: Seconds at the start without faults.
+#: Period without faults at the start of a run.
 QUIET_START_S = 2.0
 
 
@@ -43,7 +43,7 @@
 def draw(seed, seconds, instances, workers, data_centres, kinds, gap=MEAN_GAP_S):
     """Return the faults of a run of `seconds`, ordered by time.
 
-    Faults of different targets overlap freely; one target has one at a time.
+    Faults of different targets may overlap; each target has one fault at a time.
     """
     targets = {
         **dict.fromkeys(INSTANCE, instances),
@@ -56,7 +56,7 @@
 
 
 def draw_from(seed, seconds, table, gap=MEAN_GAP_S):
-    """Return faults from rows of kind, targets, and shortest and longest duration."""
+    """Return faults drawn from rows of kind, targets and range of durations."""
     chance = random.Random(f"schedule/{seed}")
     faults, busy = [], {}
     at = QUIET_START_S
@@ -69,7 +69,7 @@
         duration = chance.uniform(*durations)
         if busy.get(target, 0.0) > at:
             continue
-        # A killed process needs a while until it is worth killing again.
+        # Leaves a killed process time to restart before its next fault.
         busy[target] = at + duration + 4.0
         if kind == "leaving":
             busy[target] = float("inf")
--- a/tests/soak/steps/soak_steps.py
+++ b/tests/soak/steps/soak_steps.py
@@ -30,10 +30,10 @@
 
 @given(
     "the platform's soak ran for {seconds:d} s with seed {seed:d} and gap {gap:g} s, "
-    "with second lives"
+    "with crashing workers"
 )
-def step_lives(context, seconds, seed, gap):
-    context.verdicts, context.folder = deployment.run(seconds, seed, gap, lives=True)
+def step_crashing(context, seconds, seed, gap):
+    context.verdicts, context.folder = deployment.run(seconds, seed, gap, crashing=True)
 
 
 @then("no promise was broken there")
