--- a/tests/demo.py
+++ b/tests/demo.py
@@ -1,8 +1,9 @@
-"""Shows the whole path on real input, and prints who answered and how fast.
+"""End-to-end demo on realistic input.
 
-Starts a platform, workers and instances of both users' first two data centres,
-asks for quotes, releases, verifications, watches and a batch job through a
-balancer, and prints a table.
+Starts a simulated platform, and workers and instances in the data centres that both
+example teams list first; sends quotes, releases, verifications, a watch and a batch
+job, all but the job through a load balancer; and prints a table with latencies and the
+data centres that answered.
 """
 
 import collections
@@ -62,7 +63,7 @@
 
 
 def run(scene):
-    asked = [
+    requests = [
         ("fuel quote", "fuel-desk", "/v1/services/fuel/quote", FUEL, QUOTES),
         ("tooling quotation", "plegadora", "/v1/services/tooling/quotation",
          TOOLING, QUOTES),
@@ -71,7 +72,7 @@
          TOOLING, 20),
     ]  # fmt: skip
     rows = []
-    for label, team, path, bodies, count in asked:
+    for label, team, path, bodies, count in requests:
         with concurrent.futures.ThreadPoolExecutor(8) as pool:
             answers = list(
                 pool.map(
@@ -88,7 +89,7 @@
 
 
 def ask(scene, team, path, body, request_id):
-    """Ask once; a refusal that names a time is asked again after it."""
+    """Send a request, and retry up to 20 times while the answer has Retry-After."""
     headers = teams.bearer(f"{team}-token", Request_Id=request_id)
     started = time.monotonic()
     for _ in range(20):
--- a/tests/style/steps/style_steps.py
+++ b/tests/style/steps/style_steps.py
@@ -17,24 +17,24 @@
 from mangosail.placement import errors
 from mangosail.platform import batching
 
-#: Lines of the soak at most, as a share of those of the code.
-SOAK_SHARE = 1 / 10
-#: Names on the platform's wire that mean something else, or nothing, to the slices.
-PLATFORM_WORDS = (
+#: Maximum number of lines of the soak, as a share of the lines of the code.
+MAX_SOAK_SHARE = 1 / 10
+#: Names in the platform's protocol that have another meaning, or none, in the slices.
+PLATFORM_TERMS = (
     "rows-tx", "rows-feed", "rows-get", "run-start", "run-stop", "expected_revision",
     "long_running", "allow_duplicates", "anti_affinity", "fencing_token",
     "deadline_ms", "clock_ms", "mem_mb", "last_seen", "wait_ms", "admission_check",
     "target_duration_ms",
 )  # fmt: skip
-#: Names that a folder at the root of a developer's machine has.
+#: Paths below the usual root folders of a developer's machine.
 MACHINE_PATH = re.compile(r"(?<![\w.\-/])/(work|root|home|Users)/\w")
-#: Calls that are given the reason of a refusal, and at which place.
-REFUSING = {
+#: Calls with the reason of a refusal as an argument -> position of the argument.
+REASON_POSITION = {
     "Refusal": 1, "JobRefusal": 1, "Refused": 0, "refuse": 1, "_refuse": 1,
     "_write": 2, "StoreUnavailable": 1, "Undecided": 1, "_undecided": 1,
 }  # fmt: skip
-#: Slices whose errors callers are told.
-TOLD = ("front", "settings", "work")
+#: Slices whose errors are returned to callers.
+SLICES_WITH_TITLES = ("front", "settings", "work")
 
 
 @given("the description docs/openapi.json")
@@ -45,7 +45,7 @@
 
 
 def described(context):
-    """Yield (method, path, operation) of each operation described."""
+    """Yield (method, path, operation) of each described operation."""
     for path, operations in context.description["paths"].items():
         for method, operation in operations.items():
             yield method.upper(), path, operation
@@ -66,8 +66,8 @@
     assert not listed - served, f"described but not served: {listed - served}"
 
 
-@then("each reference in it leads somewhere")
-def references_lead(context):
+@then("each reference in it resolves")
+def references_resolve(context):
     for reference in re.findall(r'"\$ref": "#/([^"]+)"', context.description_text):
         found = context.description
         for part in reference.split("/"):
@@ -81,7 +81,7 @@
     sent |= {server.OVERLOADED, *app.FALCON_REASONS.values()}
     kinds = t.get_args(dispatch_errors.DispatchError)
     sent |= {f"target_{kind.__name__.lower()}" for kind in kinds}
-    for slice_name in TOLD:
+    for slice_name in SLICES_WITH_TITLES:
         for _, tree in sources.trees(sources.PACKAGE / slice_name):
             sent |= set(titles(tree))
     schema = context.description["components"]["schemas"]["Refusal"]
@@ -91,11 +91,13 @@
 
 
 def titles(tree):
-    """Yield each title that is written out in `tree`."""
+    """Yield each title that is a string constant in `tree`."""
     found = []
     for name, call in sources.calls(tree):
         found += [k.value for k in call.keywords if k.arg == "title"]
-        found += call.args[REFUSING[name] :][:1] if name in REFUSING else []
+        found += (
+            call.args[REASON_POSITION[name] :][:1] if name in REASON_POSITION else []
+        )
     for node in ast.walk(tree):
         if isinstance(node, ast.Dict):
             pairs = zip(node.keys, node.values, strict=True)
@@ -139,8 +141,8 @@
 
 @when("each described operation is called with its examples")
 def call_each(context):
-    context.answers, context.bare = [], []
-    # Posts come first, so that what they make can be looked up; the drain last.
+    context.answers, context.without_token = [], []
+    # POST first, so that created resources can be looked up; the drain comes last.
     order = {"POST": 0, "PUT": 1, "GET": 2, "DELETE": 3}
     operations = sorted(
         described(context), key=lambda o: (o[1] == "/v1/drain", order.get(o[0], 2))
@@ -148,7 +150,7 @@
     for method, path, operation in operations:
         if operation.get("security") != []:
             answer = call(context, method, path, operation, {})
-            context.bare.append((method, path, answer.status))
+            context.without_token.append((method, path, answer.status))
         administrator = {"administrator": []} in operation.get("security", [])
         token = teams.ADMIN_TOKEN if administrator else "fuel-desk-token"
         bearer = teams.bearer(token)
@@ -164,13 +166,15 @@
         assert answer.status < 400, (method, path, answer)
 
 
-@then("a call without a token is refused where one is due")
-def refused_bare(context):
-    assert context.bare
-    assert [b for b in context.bare if b[2] != 401] == [], context.bare
+@then("a call without a token is refused where one is required")
+def refused_without_token(context):
+    assert context.without_token
+    assert [b for b in context.without_token if b[2] != 401] == [], (
+        context.without_token
+    )
 
 
-@then("no import takes a name out of a module")
+@then("no import statement imports a name from a module")
 def modules_imported(context):
     wrong = []
     folders = (sources.PACKAGE, stage.ROOT / "tests")
@@ -178,7 +182,7 @@
         for node in ast.walk(tree):
             if not isinstance(node, ast.ImportFrom):
                 continue
-            # Behave's decorators are used bare in every step file of its users.
+            # Importing behave's decorators by name is the convention of step files.
             if node.module == "behave":
                 continue
             wrong += [
@@ -206,7 +210,7 @@
     return [p for f in folders for p in (stage.ROOT / f).rglob("*.*")]
 
 
-@then("no file names a folder of the machine it was written on")
+@then("no file contains a path of a developer's machine")
 def no_machine_paths(context):
     files = [path for path in listed_files() if path.is_file()]
     assert len(files) > 50, len(files)
@@ -229,20 +233,20 @@
     code = lines("src", ".py")
     share = soak / code
     print(f"soak {soak} lines, code {code}: {share:.1%}", flush=True)
-    assert share < SOAK_SHARE, f"{share:.1%}"
+    assert share < MAX_SOAK_SHARE, f"{share:.1%}"
 
 
-@then("no module outside src/mangosail/platform speaks the platform's words")
-def platform_words(context):
+@then("no module outside src/mangosail/platform uses the platform's terms")
+def platform_terms(context):
     adapter = stage.ROOT / "src/mangosail/platform"
-    spoken = [
-        f"{path.relative_to(stage.ROOT)}: {word}"
+    violations = [
+        f"{path.relative_to(stage.ROOT)}: {term}"
         for path in (stage.ROOT / "src").rglob("*.py")
         if adapter not in path.parents
-        for word in PLATFORM_WORDS
-        if word in path.read_text()
+        for term in PLATFORM_TERMS
+        if term in path.read_text()
     ]
-    assert not spoken, spoken
+    assert not violations, violations
 
 
 ASK_FOR_PORTS = """
@@ -255,7 +259,7 @@
 
 @when("{count:d} processes ask for {each:d} ports each at the same time")
 def ask_for_ports(context, count, each):
-    asking = [
+    processes = [
         subprocess.Popen(
             [sys.executable, "-c", ASK_FOR_PORTS, str(each)], cwd=stage.ROOT, text=True,
             stdin=subprocess.PIPE, stdout=subprocess.PIPE,
@@ -263,14 +267,14 @@
         for _ in range(count)
     ]  # fmt: skip
     context.ports = [
-        int(port) for one in asking for port in one.stdout.readline().split()
+        int(port) for process in processes for port in process.stdout.readline().split()
     ]
-    for one in asking:
-        one.communicate()
-    context.wanted = count * each
+    for process in processes:
+        process.communicate()
+    context.expected_count = count * each
 
 
-@then("all of them differ, and the kernel gives none to outgoing connections")
+@then("all of them differ, and none is in the kernel's range for outgoing connections")
 def ports_differ(context):
-    assert len(set(context.ports)) == context.wanted, sorted(context.ports)
+    assert len(set(context.ports)) == context.expected_count, sorted(context.ports)
     assert max(context.ports) < ports.lowest_ephemeral(), max(context.ports)
