--- a/tests/adapter/steps/narrow_links_steps.py
+++ b/tests/adapter/steps/narrow_links_steps.py
@@ -234,7 +234,9 @@
 def step_reason(context):
     reason = context.found.err_value.reason
     received = int(re.search(r"after (\d+) bytes", reason)[1])
-    assert 50_000 <= received <= context.platform.stall_after + narrow.PIECE, reason
+    assert 50_000 <= received <= context.platform.stall_after + narrow.CHUNK_BYTES, (
+        reason
+    )
 
 
 @when("the lease is renewed while all of these rows are read")
--- a/tests/dispatch/environment.py
+++ b/tests/dispatch/environment.py
@@ -24,7 +24,7 @@
 
 def after_scenario(context, scenario):
     if scenario.status.has_failed():
-        context.stage.tell(TOKEN)
+        context.stage.print_diagnostics(TOKEN)
     for worker in context.stage.workers:
         context.stage.worker_faults(worker, **HEALTHY)
 
--- a/tests/front/environment.py
+++ b/tests/front/environment.py
@@ -18,7 +18,7 @@
 
 def after_scenario(context, scenario):
     if scenario.status.has_failed():
-        context.stage.tell("fuel-desk-token")
+        context.stage.print_diagnostics("fuel-desk-token")
 
 
 def after_all(context):
--- a/tests/jobs/environment.py
+++ b/tests/jobs/environment.py
@@ -21,7 +21,7 @@
     if "stage" not in context:
         return
     if scenario.status.has_failed():
-        context.stage.tell("fuel-desk-token")
+        context.stage.print_diagnostics("fuel-desk-token")
         for entry in context.stage.execution_log():
             print(entry)
     context.stage.close()
--- a/tests/jobs/steps/room_steps.py
+++ b/tests/jobs/steps/room_steps.py
@@ -11,7 +11,7 @@
 @given('workers "{names}" with {count:d} batch tasks of {cpus:d} cores')
 def workers_with(context, names, count, cpus):
     scene = context.scene = crowded.Crowded(*names.split(","))
-    for name in scene.hands:
+    for name in scene.held_requests:
         for number in range(count):
             scene.run(name, crowded.task(f"{name}.{number}", cpus))
 
@@ -19,7 +19,10 @@
 @given('the tasks on "{worker}" are not yet adopted')
 def not_adopted(context, worker):
     scene = context.scene
-    scene.later[worker], scene.hands[worker] = scene.hands[worker], []
+    scene.detached_requests[worker], scene.held_requests[worker] = (
+        scene.held_requests[worker],
+        [],
+    )
 
 
 @given('a release of {cpus:d} cores on "{worker}"')
@@ -53,7 +56,7 @@
 @when('an urgent task "{name}" of {cpus:d} cores finds no room')
 def no_room(context, name, cpus):
     context.request = crowded.task(name, cpus)
-    context.scene.find_no_room(context.request)
+    context.scene.request_room(context.request)
 
 
 @when('an urgent task "{name}" of {cpus:d} cores finds no room in {rounds:d} rounds')
@@ -66,7 +69,7 @@
 @when('the tasks on "{worker}" are adopted')
 def adopted(context, worker):
     scene = context.scene
-    scene.hands[worker] = scene.later.pop(worker)
+    scene.held_requests[worker] = scene.detached_requests.pop(worker)
 
 
 @when('"{name}" is started')
@@ -82,7 +85,7 @@
 @when('the batch tasks end and "{name}" does not renew its reservation')
 def reservation_not_renewed(context, name):
     scene = context.scene
-    for worker, tasks in scene.hands.items():
+    for worker, tasks in scene.held_requests.items():
         for request in [each for each in tasks if each.job]:
             tasks.remove(request)
             task_id = work_messages.task_id_of(request)
--- a/tests/ownership/environment.py
+++ b/tests/ownership/environment.py
@@ -3,5 +3,5 @@
         context.load.stop()
     if "stage" in context:
         if scenario.status.has_failed():
-            context.stage.tell("fuel-desk-token")
+            context.stage.print_diagnostics("fuel-desk-token")
         context.stage.close()
--- a/tests/standins/narrow.py
+++ b/tests/standins/narrow.py
@@ -12,7 +12,7 @@
 from tests.standins import metadata
 
 #: Size of the chunks in which answers are sent, in bytes.
-PIECE = 4096
+CHUNK_BYTES = 4096
 #: Interval at which a feed request checks for changes.
 FEED_POLL_INTERVAL_S = 0.01
 
@@ -44,10 +44,10 @@
             self.free_at = time.monotonic()
         self.active_responses += 1
         try:
-            for first in range(0, len(data), PIECE):
+            for first in range(0, len(data), CHUNK_BYTES):
                 if self.stall_after is not None and first >= self.stall_after:
                     gevent.sleep(30)
-                chunk = data[first : first + PIECE]
+                chunk = data[first : first + CHUNK_BYTES]
                 self.sent += len(chunk)
                 self.free_at += len(chunk) / self.rate
                 gevent.sleep(max(self.free_at - time.monotonic(), 0))
--- a/tests/style/steps/style_steps.py
+++ b/tests/style/steps/style_steps.py
@@ -82,7 +82,7 @@
     kinds = t.get_args(dispatch_errors.DispatchError)
     sent |= {f"target_{kind.__name__.lower()}" for kind in kinds}
     for slice_name in SLICES_WITH_TITLES:
-        for _, tree in sources.trees(sources.PACKAGE / slice_name):
+        for _, tree in sources.syntax_trees(sources.PACKAGE / slice_name):
             sent |= set(titles(tree))
     schema = context.description["components"]["schemas"]["Refusal"]
     listed = set(schema["properties"]["title"]["enum"])
@@ -178,7 +178,9 @@
 def modules_imported(context):
     wrong = []
     folders = (sources.PACKAGE, stage.ROOT / "tests")
-    for path, tree in (found for folder in folders for found in sources.trees(folder)):
+    for path, tree in (
+        found for folder in folders for found in sources.syntax_trees(folder)
+    ):
         for node in ast.walk(tree):
             if not isinstance(node, ast.ImportFrom):
                 continue
--- a/tests/support/crowded.py
+++ b/tests/support/crowded.py
@@ -16,10 +16,11 @@
 
     def __init__(self, *names):
         super().__init__(*names)
-        self.hands = {
+        self.held_requests = {
             name: [] for name in names
         }  # worker -> requests that this instance runs there
-        self.later = {}  # worker -> requests running there that it can't evict
+        # worker -> requests running there that it can't evict
+        self.detached_requests = {}
         self.evicted = []
         self.fail = False
         self.seconds = 0.0
@@ -28,14 +29,14 @@
         )
 
     def requests_on_worker(self, worker):
-        return list(self.hands[worker])
+        return list(self.held_requests[worker])
 
     def evict(self, task_id, reason):
         if self.seconds:
             gevent.sleep(self.seconds)
         if self.fail:
             return result.Err(errors.NotEvicted("checkpoint_failed"))
-        for name, tasks in self.hands.items():
+        for name, tasks in self.held_requests.items():
             for request in tasks:
                 if work_messages.task_id_of(request) == task_id:
                     tasks.remove(request)
@@ -51,9 +52,9 @@
     def run(self, worker, request):
         work = work_placing.placement_work(request)
         self.workers.get(worker).ledger.add(work.task_id, work.needs)
-        self.hands[worker].append(request)
+        self.held_requests[worker].append(request)
 
-    def find_no_room(self, request):
+    def request_room(self, request):
         assert not self.room.fits(request)
         self.room.make_room(request, True, self.clock.now)
         gevent.sleep(0)
--- a/tests/support/sources.py
+++ b/tests/support/sources.py
@@ -7,7 +7,7 @@
 PACKAGE = stage.ROOT / "src" / "mangosail"
 
 
-def trees(folder=PACKAGE):
+def syntax_trees(folder=PACKAGE):
     """Yield (path relative to the root, syntax tree) of each module in `folder`."""
     for path in sorted(folder.rglob("*.py")):
         yield path.relative_to(stage.ROOT), ast.parse(path.read_text())
--- a/tests/support/stage.py
+++ b/tests/support/stage.py
@@ -246,7 +246,7 @@
             if entry["event"] == "start" and entry["task_id"] == task_id
         ]
 
-    def tell(self, token):
+    def print_diagnostics(self, token):
         """Print diagnostics of a failed run, since the failure may not recur.
 
         These are the last lines of each process's log and each instance's counters.
--- a/tests/telemetry/steps/telemetry_steps.py
+++ b/tests/telemetry/steps/telemetry_steps.py
@@ -40,7 +40,7 @@
 def collect(context):
     context.sent = {
         (pattern_of(path, call.args[0]), KINDS[name])
-        for path, tree in sources.trees()
+        for path, tree in sources.syntax_trees()
         for name, call in sources.calls(tree)
         if name in KINDS
         and isinstance(call.func, ast.Attribute)
